--- a/citronport/assignment.py
+++ b/citronport/assignment.py
@@ -81,16 +81,16 @@
         one in force here.
         """
         if version >= self._get_list_version():
-            self._owners.note_platform(asked)
+            self._owners.record_platform_confirmation(asked)
 
     def note_report(self, endpoint: str, report: models.LoadReport) -> None:
         """Note from a load report that an endpoint has no work."""
         if not report.running and not report.queued:
-            self._owners.note_idle(endpoint, self._ticker.now() - report.age)
+            self._owners.record_idle(endpoint, self._ticker.now() - report.age)
 
     def assess(self) -> None:
         """Tell the scheduler what changed, and offer what was given up."""
-        assigned = self._owners.assess(self._ticker.now())
+        assigned = self._owners.get_ownership(self._ticker.now())
         if assigned != self.current:
             for endpoint in self.current.owned - assigned.owned:
                 self._given[endpoint] = self._ticker.now()
--- a/citronport/core.py
+++ b/citronport/core.py
@@ -82,7 +82,7 @@
             self.scheduler,
             ticker,
             self._forward,
-            self.owners.may_feed_cold,
+            self.owners.may_send_cold,
             trace.make_event_recorder(self.name, settings.event_file),
             self.watches.is_current,
             self.telemetry,
--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -294,7 +294,7 @@
         # lease is needed; one that ran out in the pause forbids the send.
         paused = now - self._stepped > PAUSE_SECONDS
         held = paused or now - self._woken < HOLD_SECONDS
-        if not held and self._scheduler.is_shown_warm(endpoint, now):
+        if not held and self._scheduler.has_warm_evidence(endpoint, now):
             return True
         return self._may_feed_cold(endpoint, now)
 
--- a/citronport/instances/gossip.py
+++ b/citronport/instances/gossip.py
@@ -106,7 +106,7 @@
                 version = message.versions.get(
                     catalogue_const.PATH_INSTANCES, 0
                 )
-                self._owners.note_contact(sender, message.sent, version)
+                self._owners.record_contact(sender, message.sent, version)
             case messages.Want():
                 self._answer_want(sender, message)
             case messages.Difference():
@@ -197,7 +197,7 @@
         # A release that lay in a buffer while the list moved on says
         # nothing of whoever owned the endpoint in between.
         if message.list_version == mine.get(catalogue_const.PATH_INSTANCES):
-            self._owners.note_release(message.endpoint)
+            self._owners.record_release(message.endpoint)
 
     def _note_silent(self, silent: frozenset[str]) -> None:
         for name in silent - self._silent:
--- a/citronport/scheduler/admission.py
+++ b/citronport/scheduler/admission.py
@@ -19,25 +19,25 @@
     def __init__(
         self,
         owner: owner_module.Owner,
-        shedding: shedding_module.Shedding,
+        shedder: shedding_module.Shedder,
         deadlines: deadlines_module.Deadlines,
     ) -> None:
         self._owner = owner
-        self._shedding = shedding
+        self._shedder = shedder
         self._deadlines = deadlines
         self.entries: dict[str, models.Entry] = {}
 
-    def put_back(self, waiting: queue.Waiting) -> None:
+    def requeue(self, waiting: queue.QueuedRequest) -> None:
         """Let a request wait that was taken out of the queue."""
         weight = self._get_weight(waiting.request)
         self._owner.queue.push(waiting, weight)
 
-    def take_in(
+    def admit(
         self,
         request: models.Request,
         forwarded: bool,
         now: float,
-        tries: int,
+        failed_dispatches: int,
     ) -> list[models.Action]:
         """Let a request wait here, or refuse it.
 
@@ -49,26 +49,26 @@
         owner = self._owner
         group = queue.get_group(request)
         if not owner.get_usable(group):
-            return self._shedding.shed(request, errors.Code.NO_ENDPOINT, now)
+            return self._shedder.shed(request, errors.Code.NO_ENDPOINT, now)
         weight = self._get_weight(request)
         ahead = owner.queue.get_cost_ahead(request, weight)
         wait = ahead / max(0.01, owner.get_capacity(group))
         end = now + wait + owner.estimate_service(request)
-        if end > request.deadline and not self._shedding.has_lower(
+        if end > request.deadline and not self._shedder.serves_lower_tier(
             request, now
         ):
-            return self._shedding.shed(
+            return self._shedder.shed(
                 request, errors.Code.DEADLINE_TOO_NEAR, now
             )
-        made = self._make_room(request, now)
-        if made is None:
-            return self._shedding.shed(request, errors.Code.OVERLOADED, now)
-        waiting = queue.Waiting(
+        actions = self._evict_for(request, now)
+        if actions is None:
+            return self._shedder.shed(request, errors.Code.OVERLOADED, now)
+        waiting = queue.QueuedRequest(
             request=request,
-            since=now,
+            queued_at=now,
             cost=owner.estimate_cost(request),
             forwarded=forwarded,
-            tries=tries,
+            failed_dispatches=failed_dispatches,
         )
         owner.queue.push(waiting, weight)
         self._deadlines.add(
@@ -76,19 +76,19 @@
             request.request_id,
         )
         self._deadlines.add(request.deadline, request.request_id)
-        return made
+        return actions
 
-    def _make_room(
+    def _evict_for(
         self, request: models.Request, now: float
     ) -> list[models.Action] | None:
         owner = self._owner
-        if len(owner.queue) < const.MAX_QUEUED:
+        if len(owner.queue) < const.MAX_QUEUED_REQUESTS:
             return []
-        youngest = owner.queue.get_youngest(request.tier)
+        youngest = owner.queue.find_evictable(request.tier)
         if youngest is None:
             return None
         owner.queue.pop(youngest.request.request_id)
-        return self._shedding.shed(
+        return self._shedder.shed(
             youngest.request, errors.Code.OVERLOADED, now
         )
 
--- a/citronport/scheduler/core.py
+++ b/citronport/scheduler/core.py
@@ -28,10 +28,10 @@
 from citronport.scheduler import placement
 from citronport.scheduler import pressure as pressure_module
 from citronport.scheduler import queue
+from citronport.scheduler import rebalancing
 from citronport.scheduler import refusal
 from citronport.scheduler import routing
 from citronport.scheduler import shedding
-from citronport.scheduler import shift
 from citronport.scheduler import summary
 
 
@@ -51,19 +51,19 @@
     def __init__(self, instance: str) -> None:
         self.instance = instance
         self.fleet: models.Fleet | None = None
-        self._assigned = models.OwnershipChanged(owned=frozenset())
-        self._rings: dict[queue.Group, placement.Ring] = {}
+        self._ownership = models.OwnershipChanged(owned=frozenset())
+        self._rings: dict[queue.Group, placement.HashRing] = {}
         self._owner = owner_module.Owner()
         self._pressure = pressure_module.Pressure()
         self._router = routing.Router(instance, self._owner, self._pressure)
-        self._limits = limits_module.Limits()
-        self._shedding = shedding.Shedding(
-            self._owner, self._pressure, self._limits
+        self._limiter = limits_module.Limiter()
+        self._shedder = shedding.Shedder(
+            self._owner, self._pressure, self._limiter
         )
         self._forwarded: dict[str, _Forwarded] = {}
         self._deadlines = deadlines.Deadlines()
         self._admission = admission.Admission(
-            self._owner, self._shedding, self._deadlines
+            self._owner, self._shedder, self._deadlines
         )
         self._leaving = False
         self._now = 0.0
@@ -79,56 +79,60 @@
             Actions in the order in which to carry them out.
         """
         self._now = now
-        actions = self._take(event, now)
+        actions = self._apply_event(event, now)
         if isinstance(event, models.InstanceReported):
             # Most events by far, and none of them frees a place.
             return actions
         return [
             *actions,
-            *self._owner.start(self._shedding.get_floor(now), now),
+            *self._owner.start(self._shedder.get_floor(now), now),
         ]
 
-    def _take(self, event: models.Event, now: float) -> list[models.Action]:
+    def _apply_event(
+        self, event: models.Event, now: float
+    ) -> list[models.Action]:
         match event:
             case models.RequestArrived():
                 return self._admit(event, now)
             case models.RequestLeft():
-                return self._drop(event.request_id, now)
+                return self._abandon(event.request_id, now)
             case models.FirstToken():
-                self._owner.give_first_token(event.request_id, now)
+                self._owner.record_first_token(event.request_id, now)
             case models.AnswerCut():
-                self._owner.suspect(event.request_id, now)
+                self._owner.assume_cold(event.request_id, now)
             case models.AnswerFinished():
                 self._finish(event, now)
             case models.DispatchFailed():
-                return self._settle_failure(event, now)
+                return self._handle_dispatch_failure(event, now)
             case models.TimePassed():
-                return self._look(now)
+                return self._handle_time_passed(now)
             case _:
-                return self._learn(event, now)
+                return self._apply_state_event(event, now)
         return []
 
-    def _learn(self, event: models.Event, now: float) -> list[models.Action]:
+    def _apply_state_event(
+        self, event: models.Event, now: float
+    ) -> list[models.Action]:
         match event:
             case models.EndpointConnected():
                 self._owner.connect(event.endpoint, now)
             case models.EndpointLost():
-                self._owner.lose(event.endpoint)
+                self._owner.disconnect(event.endpoint)
                 return self._reroute(now)
             case models.EndpointReported():
-                self._owner.report(event.endpoint, event.report, now)
+                self._owner.apply_report(event.endpoint, event.report, now)
             case models.CacheReported():
-                self._owner.report_cache(event)
+                self._owner.apply_cache_report(event)
             case models.FleetChanged():
                 return self._change_fleet(event.fleet, now)
             case models.OwnershipChanged():
-                self._assigned = event
-                return self._apply(now)
+                self._ownership = event
+                return self._apply_assignment(now)
             case models.InstanceReported():
-                self._pressure.take_summary(event.summary, now)
-                self._router.forget_sent(event.summary.instance)
+                self._pressure.record_summary(event.summary, now)
+                self._router.clear_unreported_cost(event.summary.instance)
             case models.InstanceGone():
-                self._pressure.forget(event.instance)
+                self._pressure.remove_peer(event.instance)
             case models.LeaveOrdered():
                 self._leaving = True
             case models.ReturnOrdered():
@@ -138,12 +142,12 @@
     def summarize(self) -> models.InstanceSummary:
         """Return what the other instances are told."""
         return summary.make_summary(
-            summary.Source(
+            summary.SummarySource(
                 instance=self.instance,
                 fleet=self.fleet,
                 groups=tuple(self._rings),
                 owner=self._owner,
-                limits=self._limits,
+                limiter=self._limiter,
                 floor=self._pressure.own_floor,
                 leaving=self._leaving,
             ),
@@ -162,13 +166,13 @@
         """Return whether an owned endpoint was shown warm since its start."""
         return self._owner.is_warm(endpoint)
 
-    def is_shown_warm(self, endpoint: str, now: float) -> bool:
+    def has_warm_evidence(self, endpoint: str, now: float) -> bool:
         """Return whether young evidence says that an endpoint is warm.
 
         Asked between the last wait and the send, where a lease is needed
         for any endpoint of which that is not so.
         """
-        return self._owner.is_shown_warm(endpoint, now)
+        return self._owner.has_warm_evidence(endpoint, now)
 
     def _change_fleet(
         self, fleet: models.Fleet, now: float
@@ -182,15 +186,15 @@
             fleet.endpoints,
             fleet.data_centres,
         ):
-            self._rings = placement.make_rings(fleet)
-        return self._apply(now)
+            self._rings = placement.make_hash_rings(fleet)
+        return self._apply_assignment(now)
 
-    def _apply(self, now: float) -> list[models.Action]:
+    def _apply_assignment(self, now: float) -> list[models.Action]:
         if self.fleet is None:
             return []
-        self._owner.apply(self.fleet, self._rings, self._assigned, now)
+        self._owner.apply(self.fleet, self._rings, self._ownership, now)
         self._admission.entries = self.fleet.entries
-        self._router.apply(self.fleet, self._rings, self._assigned.owners)
+        self._router.apply(self.fleet, self._rings, self._ownership.owners)
         return self._reroute(now)
 
     def _reroute(self, now: float) -> list[models.Action]:
@@ -209,13 +213,15 @@
     ) -> list[models.Action]:
         request = event.request
         if self.fleet is None:
-            return [refusal.refuse(request, errors.Code.NO_CATALOGUE, 1.0)]
+            return [
+                refusal.make_refusal(request, errors.Code.NO_CATALOGUE, 1.0)
+            ]
         if self._leaving and not event.refused_by:
-            return [refusal.refuse(request, errors.Code.LEAVING, 0.0)]
+            return [refusal.make_refusal(request, errors.Code.LEAVING, 0.0)]
         if request.deadline <= now:
             self._forwarded.pop(request.request_id, None)
-            late = errors.Code.DEADLINE_PASSED_WAITING
-            return self._shedding.shed(request, late, now)
+            code = errors.Code.DEADLINE_PASSED_WAITING
+            return self._shedder.shed(request, code, now)
         if event.refused_by:
             self._forwarded.pop(request.request_id, None)
         elif not event.forwarded:
@@ -231,12 +237,12 @@
         entry = self.fleet.entries.get(request.entry)
         if entry is None:
             return None
-        refused = self._limits.admit(
+        refused = self._limiter.admit(
             request, entry, self._pressure.get_view(now), now
         )
         if refused is None:
             return None
-        return refusal.refuse(request, *refused)
+        return refusal.make_refusal(request, *refused)
 
     def _place(
         self,
@@ -244,28 +250,30 @@
         forwarded: bool,
         refused_by: tuple[str, ...],
         now: float,
-        tries: int = 0,
+        failed_dispatches: int = 0,
     ) -> list[models.Action]:
-        if self._shedding.is_floored(request, now):
-            return self._shedding.shed(request, errors.Code.OVERLOADED, now)
+        if self._shedder.is_below_floor(request, now):
+            return self._shedder.shed(request, errors.Code.OVERLOADED, now)
         if forwarded:
-            return self._admission.take_in(request, True, now, tries)
-        if len(refused_by) >= const.TRIES:
-            return self._shedding.shed(request, errors.Code.OVERLOADED, now)
-        avoided = refused_by[-const.AVOIDED :]
+            return self._admission.admit(request, True, now, failed_dispatches)
+        if len(refused_by) >= const.MAX_REFUSED_FORWARDS:
+            return self._shedder.shed(request, errors.Code.OVERLOADED, now)
+        avoided = refused_by[-const.AVOIDED_INSTANCES :]
         choice = self._router.choose(request, avoided, now)
         if choice is None and avoided:
             choice = self._router.choose(request, (), now)
         if choice is None:
-            return self._shedding.shed(request, errors.Code.NO_ENDPOINT, now)
+            return self._shedder.shed(request, errors.Code.NO_ENDPOINT, now)
         self._router.record(request, choice)
         if choice.instance == self.instance:
-            return self._admission.take_in(request, False, now, tries)
+            return self._admission.admit(
+                request, False, now, failed_dispatches
+            )
         self._forwarded[request.request_id] = _Forwarded(
             request=request, instance=choice.instance
         )
         self._deadlines.add(
-            request.deadline + const.OVERDUE_SECONDS, request.request_id
+            request.deadline + const.FORWARD_GRACE_SECONDS, request.request_id
         )
         return [
             models.Forward(
@@ -273,23 +281,23 @@
             )
         ]
 
-    def _drop(self, request_id: str, now: float) -> list[models.Action]:
+    def _abandon(self, request_id: str, now: float) -> list[models.Action]:
         waiting = self._owner.queue.pop(request_id)
         if waiting is not None:
-            self._limits.finish(waiting.request)
+            self._limiter.finish(waiting.request)
             return []
         forwarded = self._forwarded.pop(request_id, None)
         if forwarded is not None:
-            self._limits.finish(forwarded.request)
+            self._limiter.finish(forwarded.request)
             return [models.Cancel(request_id=request_id, endpoint="")]
         return self._cancel(request_id, now)
 
     def _cancel(self, request_id: str, now: float) -> list[models.Action]:
-        request = self._owner.get_request(request_id)
+        request = self._owner.get_running_request(request_id)
         place = self._owner.cancel(request_id, now)
         if request is None or place is None:
             return []
-        self._limits.finish(request)
+        self._limiter.finish(request)
         return [models.Cancel(request_id=request_id, endpoint=place)]
 
     def _finish(self, event: models.AnswerFinished, now: float) -> None:
@@ -300,9 +308,9 @@
         if request is None and forwarded is not None:
             request = forwarded.request
         if request is not None:
-            self._limits.finish(request)
+            self._limiter.finish(request)
 
-    def _settle_failure(
+    def _handle_dispatch_failure(
         self, event: models.DispatchFailed, now: float
     ) -> list[models.Action]:
         waiting = self._owner.fail(event.request_id, now, sent=event.sent)
@@ -310,70 +318,82 @@
             return []
         request = waiting.request
         if event.sent:
-            self._limits.finish(request)
-            return [refusal.refuse(request, event.code, None)]
+            self._limiter.finish(request)
+            return [refusal.make_refusal(request, event.code, None)]
         if request.deadline <= now:
-            late = errors.Code.DEADLINE_PASSED_WAITING
-            return self._shedding.shed(request, late, now)
-        tries = waiting.tries + 1
-        if tries > const.RETRIES:
-            return self._shedding.shed(request, errors.Code.NO_ENDPOINT, now)
-        return self._place(request, waiting.forwarded, (), now, tries)
+            code = errors.Code.DEADLINE_PASSED_WAITING
+            return self._shedder.shed(request, code, now)
+        failed_dispatches = waiting.failed_dispatches + 1
+        if failed_dispatches > const.MAX_DISPATCH_RETRIES:
+            return self._shedder.shed(request, errors.Code.NO_ENDPOINT, now)
+        return self._place(
+            request, waiting.forwarded, (), now, failed_dispatches
+        )
 
-    def _look(self, now: float) -> list[models.Action]:
-        self._owner.check(now)
+    def _handle_time_passed(self, now: float) -> list[models.Action]:
+        self._owner.check_first_tokens(now)
 
         def get_peer_wait(model: str, tier: int) -> float:
-            return self._pressure.get_wait(model, tier, now)
+            return self._pressure.get_shortest_peer_wait(model, tier, now)
 
-        pressed = shift.find_pressed(self._owner, get_peer_wait, now)
-        self._pressure.update(pressed, now)
+        starved_tier = rebalancing.find_starved_tier(
+            self._owner, get_peer_wait, now
+        )
+        self._pressure.update(starved_tier, now)
         actions: list[models.Action] = []
-        for waiting in shift.find_movable(self._owner, get_peer_wait, now):
+        for waiting in rebalancing.find_movable(
+            self._owner, get_peer_wait, now
+        ):
             actions += self._move(waiting, now)
         for request_id in self._deadlines.pop_due(now):
-            actions += self._look_at(request_id, now)
+            actions += self._check_deadline(request_id, now)
         return actions
 
-    def _move(self, waiting: queue.Waiting, now: float) -> list[models.Action]:
+    def _move(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> list[models.Action]:
         request = waiting.request
         self._owner.queue.pop(request.request_id)
         if waiting.forwarded:
             # "Not run": the instance that it came from decides again.
-            return self._shedding.shed(request, errors.Code.OVERLOADED, now)
+            return self._shedder.shed(request, errors.Code.OVERLOADED, now)
         return self._place(request, False, (self.instance,), now)
 
-    def _look_at(self, request_id: str, now: float) -> list[models.Action]:
+    def _check_deadline(
+        self, request_id: str, now: float
+    ) -> list[models.Action]:
         owner = self._owner
-        request = owner.get_request(request_id)
+        request = owner.get_running_request(request_id)
         if request is not None:
             if now < request.deadline:
                 return []
-            late = errors.Code.DEADLINE_PASSED_RUNNING
+            code = errors.Code.DEADLINE_PASSED_RUNNING
             return [
-                refusal.refuse(request, late, None),
+                refusal.make_refusal(request, code, None),
                 *self._cancel(request_id, now),
             ]
         forwarded = self._forwarded.get(request_id)
         if forwarded is not None:
-            late = errors.Code.DEADLINE_PASSED_RUNNING
+            code = errors.Code.DEADLINE_PASSED_RUNNING
             return [
-                refusal.refuse(forwarded.request, late, None),
-                *self._drop(request_id, now),
+                refusal.make_refusal(forwarded.request, code, None),
+                *self._abandon(request_id, now),
             ]
         if request_id not in owner.queue:
             return []
-        return self._give_up(request_id, now)
+        return self._shed_late_start(request_id, now)
 
-    def _give_up(self, request_id: str, now: float) -> list[models.Action]:
+    def _shed_late_start(
+        self, request_id: str, now: float
+    ) -> list[models.Action]:
         waiting = self._owner.queue.pop(request_id)
         assert waiting is not None
         request = waiting.request
         if now >= request.deadline:
-            late = errors.Code.DEADLINE_PASSED_WAITING
-            return self._shedding.shed(request, late, now)
-        if self._shedding.has_lower(request, now):
-            self._admission.put_back(waiting)
-            self._deadlines.add(now + const.LOOK_SECONDS, request_id)
+            code = errors.Code.DEADLINE_PASSED_WAITING
+            return self._shedder.shed(request, code, now)
+        if self._shedder.serves_lower_tier(request, now):
+            self._admission.requeue(waiting)
+            self._deadlines.add(now + const.RECHECK_SECONDS, request_id)
             return []
-        return self._shedding.shed(request, errors.Code.DEADLINE_TOO_NEAR, now)
+        return self._shedder.shed(request, errors.Code.DEADLINE_TOO_NEAR, now)
--- a/citronport/scheduler/estimate.py
+++ b/citronport/scheduler/estimate.py
@@ -10,7 +10,7 @@
 """Prompt tokens in one block of ``Request.prefix``, about."""
 
 
-class Lengths:
+class LengthEstimates:
     """Mean answer length and cached part, by catalogue entry.
 
     Load: callers ask for the longest answer they could bear, most are a
@@ -25,33 +25,37 @@
         )
         self._cached: dict[str, float] = {}
 
-    def learn_output(self, entry: str, tokens: float) -> None:
+    def record_output(self, entry: str, tokens: float) -> None:
         """Take in the length of an answer."""
         known = self._output.get(entry, tokens)
-        self._output[entry] = known + const.SPEED_GAIN * (tokens - known)
+        self._output[entry] = known + const.MOVING_AVERAGE_WEIGHT * (
+            tokens - known
+        )
         self._output.move_to_end(entry)
-        while len(self._output) > const.MEMORY_ENTRIES:
+        while len(self._output) > const.MAX_REMEMBERED_ENTRIES:
             dropped, _ = self._output.popitem(last=False)
             self._cached.pop(dropped, None)
 
-    def learn_cached(self, entry: str, part: float) -> None:
+    def record_cached(self, entry: str, part: float) -> None:
         """Take in which part of a prompt was cached."""
         known = self._cached.get(entry, part)
-        self._cached[entry] = known + const.SPEED_GAIN * (part - known)
+        self._cached[entry] = known + const.MOVING_AVERAGE_WEIGHT * (
+            part - known
+        )
 
-    def get_output(self, request: models.Request) -> float:
+    def estimate_output(self, request: models.Request) -> float:
         """Return the expected answer tokens."""
-        known = self._output.get(request.entry, const.DEFAULT_OUTPUT)
+        known = self._output.get(request.entry, const.DEFAULT_OUTPUT_TOKENS)
         return min(known, float(request.max_tokens or known))
 
-    def get_uncached(self, request: models.Request) -> float:
+    def estimate_uncached(self, request: models.Request) -> float:
         """Return the prompt tokens that are expected to need prefill."""
         return request.prompt_tokens * (
             1 - self._cached.get(request.entry, 0.0)
         )
 
 
-class Cache:
+class PrefixCache:
     """The prefix blocks that an endpoint likely holds.
 
     The owner alone sends to the endpoint, so that its own sends tell the
@@ -91,9 +95,9 @@
         self._blocks.clear()
 
 
-def get_prefill(
-    state: budget.State, request: models.Request, cached: int
+def estimate_prefill(
+    state: budget.EndpointState, request: models.Request, cached: int
 ) -> float:
     """Return the expected seconds of prefill at an endpoint."""
-    left = max(0, request.prompt_tokens - cached)
-    return left / state.spec.prefill_rate * state.slow
+    uncached = max(0, request.prompt_tokens - cached)
+    return uncached / state.spec.prefill_rate * state.slowdown
--- a/citronport/scheduler/limits.py
+++ b/citronport/scheduler/limits.py
@@ -6,7 +6,7 @@
 from citronport.scheduler import models
 from citronport.scheduler import pressure
 
-WINDOW = 1.0
+WINDOW_SECONDS = 1.0
 """Seconds of a limit's rate that may come at once."""
 
 
@@ -20,7 +20,7 @@
         tokens: tokens that may still come at once.
         rate: requests a second admitted, moving average.
         token_rate: tokens a second admitted, moving average.
-        at: time of the last update, clock seconds.
+        updated_at: time of the last update, clock seconds.
     """
 
     running: set[str] = dataclasses.field(default_factory=set)
@@ -28,10 +28,10 @@
     tokens: float = 0.0
     rate: float = 0.0
     token_rate: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
 
-class Limits:
+class Limiter:
     """Own usage of limited entries beside what the others report.
 
     Load: callers of one entry at several instances. Harm: each instance
@@ -50,7 +50,7 @@
         self,
         request: models.Request,
         entry: models.Entry,
-        view: pressure.View,
+        view: pressure.PeerView,
         now: float,
     ) -> tuple[errors.Code, float] | None:
         """Count a request in, or return why not and when to come back.
@@ -66,10 +66,10 @@
             return None
         usage = self._usage.get(entry.name)
         if usage is None:
-            usage = Usage(at=now - WINDOW)
+            usage = Usage(updated_at=now - WINDOW_SECONDS)
             self._usage[entry.name] = usage
-        others = view.uses.get(entry.name, pressure.Use())
-        count = view.instances + 1
+        others = view.usage_by_entry.get(entry.name, pressure.EntryUsage())
+        count = view.instance_count + 1
         rate = _get_share(limits.requests_per_second, others.rate, count)
         token_rate = _get_share(
             limits.tokens_per_second, others.token_rate, count
@@ -86,14 +86,14 @@
         # A request larger than the window may go when the window is full
         # and leaves a debt; else it could never go.
         if token_rate is not None and usage.tokens < min(
-            tokens, token_rate * WINDOW
+            tokens, token_rate * WINDOW_SECONDS
         ):
-            missing = min(tokens, token_rate * WINDOW) - usage.tokens
+            missing = min(tokens, token_rate * WINDOW_SECONDS) - usage.tokens
             return errors.Code.TOKEN_LIMIT, missing / token_rate
         usage.requests -= 1
         usage.tokens -= tokens
-        usage.rate += 1 / WINDOW
-        usage.token_rate += tokens / WINDOW
+        usage.rate += 1 / WINDOW_SECONDS
+        usage.token_rate += tokens / WINDOW_SECONDS
         usage.running.add(request.request_id)
         return None
 
@@ -105,13 +105,13 @@
 
     def summarize(self, now: float) -> dict[str, tuple[int, float, float]]:
         """Return requests in progress and both rates, by entry in use."""
-        told = {}
+        summary = {}
         for name, usage in list(self._usage.items()):
             _refill(usage, None, None, now)
             if not usage.running and usage.rate < 0.01:
                 continue
-            told[name] = (len(usage.running), usage.rate, usage.token_rate)
-        return told
+            summary[name] = (len(usage.running), usage.rate, usage.token_rate)
+        return summary
 
 
 def _get_share(limit: float | None, others: float, count: int) -> float | None:
@@ -123,14 +123,14 @@
 def _refill(
     usage: Usage, rate: float | None, token_rate: float | None, now: float
 ) -> None:
-    passed = max(0.0, now - usage.at)
-    usage.at = now
-    fade = max(0.0, 1 - passed / WINDOW)
-    usage.rate *= fade
-    usage.token_rate *= fade
+    elapsed = max(0.0, now - usage.updated_at)
+    usage.updated_at = now
+    decay = max(0.0, 1 - elapsed / WINDOW_SECONDS)
+    usage.rate *= decay
+    usage.token_rate *= decay
     if rate is not None:
-        most = max(1.0, rate * WINDOW)
-        usage.requests = min(most, usage.requests + rate * passed)
+        capacity = max(1.0, rate * WINDOW_SECONDS)
+        usage.requests = min(capacity, usage.requests + rate * elapsed)
     if token_rate is not None:
-        most = token_rate * WINDOW
-        usage.tokens = min(most, usage.tokens + token_rate * passed)
+        capacity = token_rate * WINDOW_SECONDS
+        usage.tokens = min(capacity, usage.tokens + token_rate * elapsed)
--- a/citronport/scheduler/owner.py
+++ b/citronport/scheduler/owner.py
@@ -11,7 +11,7 @@
 from citronport.scheduler import placement
 from citronport.scheduler import queue
 
-HEADS = 6
+MAX_HEADS_CHECKED = 6
 """Workspaces whose first request is looked at for a free place."""
 
 
@@ -20,28 +20,30 @@
 
     def __init__(self) -> None:
         self.queue = queue.Queue()
-        self.states: dict[str, budget.State] = {}
-        self.lengths = estimate.Lengths()
-        self._caches: dict[str, estimate.Cache] = {}
-        self._places: dict[str, str] = {}
-        self._started: dict[str, queue.Waiting] = {}
+        self.states: dict[str, budget.EndpointState] = {}
+        self.length_estimates = estimate.LengthEstimates()
+        self._caches: dict[str, estimate.PrefixCache] = {}
+        self._endpoint_by_request: dict[str, str] = {}
+        self._started: dict[str, queue.QueuedRequest] = {}
         self._connected: dict[str, None] = {}
-        self._members: dict[queue.Group, list[str]] = {}
-        self._rings: dict[queue.Group, placement.Ring] = {}
+        self._endpoints_by_group: dict[queue.Group, list[str]] = {}
+        self._rings: dict[queue.Group, placement.HashRing] = {}
         self._running = [0] * common.TIERS
 
     def apply(
         self,
         fleet: models.Fleet,
-        rings: dict[queue.Group, placement.Ring],
+        rings: dict[queue.Group, placement.HashRing],
         assigned: models.OwnershipChanged,
         now: float,
     ) -> None:
         """Follow the catalogue and the ownership."""
         owned = assigned.owned
         self._rings = rings
-        self._members = {}
-        for name in set(self.states) - owned - set(self._places.values()):
+        self._endpoints_by_group = {}
+        for name in (
+            set(self.states) - owned - set(self._endpoint_by_request.values())
+        ):
             del self.states[name]
             del self._caches[name]
         for name in sorted(owned & fleet.endpoints.keys()):
@@ -51,21 +53,21 @@
                 state = budget.make_state(spec, now)
                 state.connected = name in self._connected
                 self.states[name] = state
-                self._caches[name] = estimate.Cache(spec.cache_tokens)
+                self._caches[name] = estimate.PrefixCache(spec.cache_tokens)
             state.spec = spec
             state.suspended = name in assigned.suspended
             state.cold_share = assigned.cold_share
             if placement.is_in_service(fleet, spec):
                 for model in spec.models:
-                    self._members.setdefault((spec.kind, model), []).append(
-                        name
-                    )
+                    self._endpoints_by_group.setdefault(
+                        (spec.kind, model), []
+                    ).append(name)
 
     def connect(self, endpoint: str, now: float) -> None:
         """A connection came up: a start, cold until shown warm."""
         self._connected[endpoint] = None
         if endpoint in self.states:
-            budget.connect(self.states[endpoint], now)
+            budget.record_connection(self.states[endpoint], now)
             self._caches[endpoint].clear()
 
     def is_warm(self, endpoint: str) -> bool:
@@ -73,25 +75,25 @@
         state = self.states.get(endpoint)
         return state is not None and state.warm
 
-    def is_shown_warm(self, endpoint: str, now: float) -> bool:
+    def has_warm_evidence(self, endpoint: str, now: float) -> bool:
         """Return whether young evidence says that an endpoint is warm."""
         state = self.states.get(endpoint)
-        return state is not None and budget.is_shown_warm(state, now)
+        return state is not None and budget.has_warm_evidence(state, now)
 
-    def lose(self, endpoint: str) -> None:
+    def disconnect(self, endpoint: str) -> None:
         """A connection broke."""
         self._connected.pop(endpoint, None)
         if endpoint in self.states:
-            budget.lose(self.states[endpoint])
+            budget.record_disconnection(self.states[endpoint])
 
-    def report(
+    def apply_report(
         self, endpoint: str, report: models.LoadReport, now: float
     ) -> None:
         """A load report came."""
         if endpoint in self.states:
-            budget.take_report(self.states[endpoint], report, now)
+            budget.apply_report(self.states[endpoint], report, now)
 
-    def report_cache(self, event: models.CacheReported) -> None:
+    def apply_cache_report(self, event: models.CacheReported) -> None:
         """Cache events came."""
         cache = self._caches.get(event.endpoint)
         if cache is not None:
@@ -102,7 +104,7 @@
         """Return owned endpoints in service that are connected."""
         return [
             name
-            for name in self._members.get(group, ())
+            for name in self._endpoints_by_group.get(group, ())
             if self.states[name].connected
         ]
 
@@ -110,9 +112,9 @@
         """Return the requests in progress, by tier."""
         return list(self._running)
 
-    def get_request(self, request_id: str) -> models.Request | None:
+    def get_running_request(self, request_id: str) -> models.Request | None:
         """Return a request that runs."""
-        place = self._places.get(request_id)
+        place = self._endpoint_by_request.get(request_id)
         if place is None:
             return None
         return self.states[place].running[request_id].request
@@ -123,8 +125,8 @@
         if ring is None:
             return 0.1
         return ring.get_cost(
-            self.lengths.get_uncached(request),
-            self.lengths.get_output(request),
+            self.length_estimates.estimate_uncached(request),
+            self.length_estimates.estimate_output(request),
         )
 
     def estimate_service(self, request: models.Request) -> float:
@@ -133,9 +135,15 @@
         if ring is None:
             return 0.1
         names = self.get_usable(queue.get_group(request))
-        decode = max((self.states[n].decode for n in names), default=50.0)
-        prefill = self.lengths.get_uncached(request) / ring.prefill_rate
-        output = self.lengths.get_output(request) * const.LATE
+        decode = max((self.states[n].decode_rate for n in names), default=50.0)
+        prefill = (
+            self.length_estimates.estimate_uncached(request)
+            / ring.prefill_rate
+        )
+        output = (
+            self.length_estimates.estimate_output(request)
+            * const.DEADLINE_DECODE_FRACTION
+        )
         return prefill + output / max(1.0, decode)
 
     def get_capacity(self, group: queue.Group) -> float:
@@ -146,7 +154,7 @@
         total = 0.0
         for name in self.get_usable(group):
             state = self.states[name]
-            part = state.spec.prefill_rate / ring.prefill_rate / state.slow
+            part = state.spec.prefill_rate / ring.prefill_rate / state.slowdown
             if not state.warm:
                 part *= 0.1
             total += part
@@ -167,7 +175,7 @@
             return math.inf
         waits = [budget.get_wait(self.states[n], now) for n in names]
         cold = not any(self.states[n].warm for n in names)
-        wait = min(waits) + (const.COLD_WAIT if cold else 0.0)
+        wait = min(waits) + (const.COLD_WAIT_SECONDS if cold else 0.0)
         return wait + ahead / max(0.01, self.get_capacity(group))
 
     def start(self, floor: int, now: float) -> list[models.Dispatch]:
@@ -192,30 +200,32 @@
                 found = self._find_start(group, tier, floor, now)
                 if found is None:
                     break
-                dispatches.append(self._send(*found, now))
+                dispatches.append(self._dispatch(*found, now))
         return dispatches
 
     def _has_room(self, name: str, tier: int) -> bool:
         # A cheap look first: most events find all endpoints full.
         state = self.states[name]
         full = len(state.running) >= state.limit
-        return not full or budget.count_lower(state, tier) > 0
+        return not full or budget.count_lower_tiers(state, tier) > 0
 
     def _find_start(
         self, group: queue.Group, tier: int, floor: int, now: float
-    ) -> tuple[queue.Waiting, str] | None:
+    ) -> tuple[queue.QueuedRequest, str] | None:
         heads = self.queue.iterate_heads(group, tier)
-        for waiting in itertools.islice(heads, HEADS):
+        for waiting in itertools.islice(heads, MAX_HEADS_CHECKED):
             place = (
-                self._choose(waiting, now)
+                self._choose_endpoint(waiting, now)
                 if tier <= floor
-                else self._displace(waiting, now)
+                else self._choose_overcommitted(waiting, now)
             )
             if place is not None:
                 return waiting, place
         return None
 
-    def _choose(self, waiting: queue.Waiting, now: float) -> str | None:
+    def _choose_endpoint(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> str | None:
         """Return the endpoint to start on, or None to wait.
 
         Load: shared documents and unlike engines. Harm: the first free
@@ -225,32 +235,36 @@
         one has no room now, waiting for it is what is best.
         """
         request = waiting.request
-        slack = request.deadline - waiting.since
-        urgent = now - waiting.since > slack * const.PRESSURE
+        slack = request.deadline - waiting.queued_at
+        urgent = now - waiting.queued_at > slack * const.URGENT_SLACK_FRACTION
         best: tuple[float, str] | None = None
         free: tuple[float, str] | None = None
         for name in self.get_usable(queue.get_group(request)):
             state = self.states[name]
             if not state.warm and not budget.may_start(state, request, now):
                 continue
-            score = self._score(state, name, request, now)
+            score = self._estimate_score(state, name, request, now)
             if score is None:
                 continue
-            may = budget.may_start(state, request, now) or (
+            may_start = budget.may_start(state, request, now) or (
                 urgent and budget.may_overcommit(state, request)
             )
             if best is None or score < best[0]:
                 best = (score, name)
-            if may and (free is None or score < free[0]):
+            if may_start and (free is None or score < free[0]):
                 free = (score, name)
         if free is None or best is None:
             return None
-        patient = now - waiting.since < slack * const.PATIENCE
-        if free[1] != best[1] and patient:
+        may_wait = (
+            now - waiting.queued_at < slack * const.AFFINITY_SLACK_FRACTION
+        )
+        if free[1] != best[1] and may_wait:
             return None
         return free[1]
 
-    def _displace(self, waiting: queue.Waiting, now: float) -> str | None:
+    def _choose_overcommitted(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> str | None:
         """Return where a request below the floor may start nevertheless.
 
         Load: a burst of a high tier lasts longer than the slack of a
@@ -259,40 +273,43 @@
         room of running requests below its own tier, nobody else's.
         """
         request = waiting.request
-        slack = request.deadline - waiting.since
-        if now - waiting.since < slack * const.PATIENCE:
+        slack = request.deadline - waiting.queued_at
+        if now - waiting.queued_at < slack * const.AFFINITY_SLACK_FRACTION:
             return None
         for name in self.get_usable(queue.get_group(request)):
             state = self.states[name]
             if not budget.may_overcommit(state, request):
                 continue
-            lower = budget.count_lower(state, request.tier)
-            score = self._score(state, name, request, now)
+            lower = budget.count_lower_tiers(state, request.tier)
+            score = self._estimate_score(state, name, request, now)
             if lower and score is not None:
                 return name
         return None
 
-    def _score(
+    def _estimate_score(
         self,
-        state: budget.State,
+        state: budget.EndpointState,
         name: str,
         request: models.Request,
         now: float,
     ) -> float | None:
         """Return the cost of a place, seconds; None if it ends too late."""
         cached = self._caches[name].count_cached(request)
-        prefill = estimate.get_prefill(state, request, cached)
+        prefill = estimate.estimate_prefill(state, request, cached)
         if not state.warm:
-            prefill *= const.COLD_FACTOR
-        output = self.lengths.get_output(request)
-        decode = output / max(1.0, state.decode)
+            prefill *= const.COLD_PREFILL_FACTOR
+        output = self.length_estimates.estimate_output(request)
+        decode = output / max(1.0, state.decode_rate)
         wait = budget.get_wait(state, now)
-        if now + wait + prefill + decode * const.LATE > request.deadline:
+        if (
+            now + wait + prefill + decode * const.DEADLINE_DECODE_FRACTION
+            > request.deadline
+        ):
             return None
         return wait + prefill * const.PREFILL_WEIGHT + decode
 
-    def _send(
-        self, waiting: queue.Waiting, name: str, now: float
+    def _dispatch(
+        self, waiting: queue.QueuedRequest, name: str, now: float
     ) -> models.Dispatch:
         request = waiting.request
         self.queue.start(request.request_id)
@@ -300,36 +317,36 @@
         state = self.states[name]
         cache = self._caches[name]
         cached = cache.count_cached(request)
-        self.lengths.learn_cached(
+        self.length_estimates.record_cached(
             request.entry, cached / max(1, request.prompt_tokens)
         )
-        prefill = estimate.get_prefill(state, request, cached)
+        prefill = estimate.estimate_prefill(state, request, cached)
         cache.store(request.prefix)
         budget.record_send(state, request, prefill, now)
-        self._places[request.request_id] = name
+        self._endpoint_by_request[request.request_id] = name
         self._running[request.tier] += 1
         return models.Dispatch(request_id=request.request_id, endpoint=name)
 
-    def give_first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """The first token of a running request came."""
-        place = self._places.get(request_id)
+        place = self._endpoint_by_request.get(request_id)
         if place is not None:
             state = self.states[place]
             budget.record_first_token(state, request_id, now)
 
-    def suspect(self, request_id: str, now: float) -> None:
+    def assume_cold(self, request_id: str, now: float) -> None:
         """The endpoint of a running request may have started over."""
-        place = self._places.get(request_id)
+        place = self._endpoint_by_request.get(request_id)
         if place is not None and budget.has_cold_start(
             self.states[place].spec
         ):
-            budget.suspect(self.states[place], now)
+            budget.assume_cold(self.states[place], now)
 
     def finish(
         self, request_id: str, now: float, output_tokens: int
     ) -> models.Request | None:
         """A running request is over; return it."""
-        place = self._places.pop(request_id, None)
+        place = self._endpoint_by_request.pop(request_id, None)
         if place is None:
             return None
         del self._started[request_id]
@@ -338,27 +355,29 @@
         assert sent is not None
         self._running[sent.request.tier] -= 1
         if output_tokens:
-            self.lengths.learn_output(sent.request.entry, output_tokens)
+            self.length_estimates.record_output(
+                sent.request.entry, output_tokens
+            )
         return sent.request
 
     def fail(
         self, request_id: str, now: float, *, sent: bool
-    ) -> queue.Waiting | None:
+    ) -> queue.QueuedRequest | None:
         """The dispatch of a request failed; return what had waited."""
-        place = self._places.pop(request_id, None)
+        place = self._endpoint_by_request.pop(request_id, None)
         if place is None:
             return None
         state = self.states[place]
-        entry = budget.record_failure(state, request_id, now, sent=sent)
-        assert entry is not None
-        self._running[entry.request.tier] -= 1
+        failed = budget.record_failure(state, request_id, now, sent=sent)
+        assert failed is not None
+        self._running[failed.request.tier] -= 1
         if sent and budget.has_cold_start(state.spec):
             self._caches[place].clear()
         return self._started.pop(request_id)
 
     def cancel(self, request_id: str, now: float) -> str | None:
         """A running request is stopped; return its endpoint."""
-        place = self._places.pop(request_id, None)
+        place = self._endpoint_by_request.pop(request_id, None)
         if place is None:
             return None
         del self._started[request_id]
@@ -367,16 +386,16 @@
         budget.record_cancel(state, request_id, now)
         return place
 
-    def check(self, now: float) -> None:
+    def check_first_tokens(self, now: float) -> None:
         """Fall back to the cold budget where a first token is overdue."""
         for state in self.states.values():
             if (
                 state.warm
                 and budget.has_cold_start(state.spec)
-                and budget.find_overdue(state, now)
+                and budget.has_overdue_first_token(state, now)
             ):
-                state.slow = min(const.SLOWEST, state.slow * 2)
-                budget.suspect(state, now)
+                state.slowdown = min(const.MAX_SLOWDOWN, state.slowdown * 2)
+                budget.assume_cold(state, now)
 
     def get_queue_wait(self, group: queue.Group, tier: int) -> float:
         """Return the seconds that the work in a tier takes."""
--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -44,23 +44,23 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Held:
+class _OwnedEndpoint:
     """An endpoint owned here.
 
     Attributes:
-        first: whether the list alone, without what instances said of
+        owner_by_list: whether the list alone, without what instances said of
             leaving, makes this instance the owner. Announcements reach
             some and not others, so that two instances could count on one
             each; only the list can give the right to feed a cold start.
-        since: clock time from which that has been so.
+        owned_since: clock time from which that has been so.
         released: whether the earlier owner gave the endpoint up.
-        idle: whether it was seen without work after any earlier lease.
+        seen_idle: whether it was seen without work after any earlier lease.
     """
 
-    first: bool
-    since: float
+    owner_by_list: bool
+    owned_since: float
     released: bool = False
-    idle: bool = False
+    seen_idle: bool = False
 
 
 def rank_instances(
@@ -70,10 +70,12 @@
 
     A change of one instance moves only the keys that it held.
     """
-    return sorted(names, key=lambda name: _weigh(key, name), reverse=True)
+    return sorted(
+        names, key=lambda name: _get_rendezvous_weight(key, name), reverse=True
+    )
 
 
-def _weigh(key: str, name: str) -> tuple[int, str]:
+def _get_rendezvous_weight(key: str, name: str) -> tuple[int, str]:
     return xxhash.xxh3_64_intdigest(f"{key}/{name}".encode()), name
 
 
@@ -91,9 +93,9 @@
         self._leaving: frozenset[str] = frozenset()
         self._endpoints: dict[str, str] = {}
         self._owners: dict[str, str] = {}
-        self._held: dict[str, _Held] = {}
-        self._platform_at = float("-inf")
-        self._contacts: dict[str, float] = {}
+        self._owned: dict[str, _OwnedEndpoint] = {}
+        self._platform_confirmed_at = float("-inf")
+        self._contacted_at: dict[str, float] = {}
         self._list_version = 0
 
     def update_members(
@@ -110,7 +112,7 @@
         self._members = members
         self._list_version = version
         # An answer from before the change confirms the list before it.
-        self._contacts.clear()
+        self._contacted_at.clear()
         self._reassign(before, members, now)
 
     def update_leaving(self, name: str, leaving: bool, now: float) -> None:
@@ -135,61 +137,63 @@
             if name not in gone
         }
         for name in gone:
-            self._held.pop(name, None)
+            self._owned.pop(name, None)
         self._endpoints = dict(endpoints)
         self._assign(changed, now)
 
-    def note_platform(self, asked: float) -> None:
+    def record_platform_confirmation(self, asked_at: float) -> None:
         """Note that the platform confirmed the list.
 
         Args:
-            asked: clock time at which the question was sent. The answer
+            asked_at: clock time at which the question was sent. The answer
                 may have lain in a buffer while the process was stopped,
                 so that its arrival says nothing.
         """
-        self._platform_at = max(self._platform_at, asked)
+        self._platform_confirmed_at = max(
+            self._platform_confirmed_at, asked_at
+        )
 
-    def note_contact(
-        self, instance: str, asked: float, list_version: int
+    def record_contact(
+        self, instance: str, asked_at: float, list_version: int
     ) -> None:
         """Note that another instance answered a question sent at a time."""
         if list_version == self._list_version:
-            known = self._contacts.get(instance, asked)
-            self._contacts[instance] = max(known, asked)
+            known = self._contacted_at.get(instance, asked_at)
+            self._contacted_at[instance] = max(known, asked_at)
 
-    def note_release(self, endpoint: str) -> None:
+    def record_release(self, endpoint: str) -> None:
         """Note that the earlier owner has nothing more at an endpoint."""
-        held = self._held.get(endpoint)
-        if held is not None and held.first:
+        held = self._owned.get(endpoint)
+        if held is not None and held.owner_by_list:
             held.released = True
 
-    def note_idle(self, endpoint: str, seen: float) -> None:
+    def record_idle(self, endpoint: str, seen_at: float) -> None:
         """Note that an endpoint had no work at a clock time."""
-        held = self._held.get(endpoint)
-        if held is not None and seen > held.since + TAKEOVER_SECONDS:
-            held.idle = True
+        held = self._owned.get(endpoint)
+        if held is not None and seen_at > held.owned_since + TAKEOVER_SECONDS:
+            held.seen_idle = True
 
     def find_owner(self, endpoint: str) -> str | None:
         """Return the owner of an endpoint as far as this view goes."""
         return self._owners.get(endpoint)
 
-    def assess(self, now: float) -> models.OwnershipChanged:
+    def get_ownership(self, now: float) -> models.OwnershipChanged:
         """Return what this instance may do now."""
         suspended = frozenset(
             name
-            for name, held in self._held.items()
-            if not self._is_settled(held, now)
+            for name, held in self._owned.items()
+            if not self._may_use_cold(held, now)
         )
         return models.OwnershipChanged(
-            owned=frozenset(self._held),
+            owned=frozenset(self._owned),
             suspended=suspended,
             owners=self._owners,
-            cold_share=self.assess_share(now),
+            cold_share=self.get_cold_share(now),
         )
 
-    def assess_share(self, now: float) -> models.ColdShare:
+    def get_cold_share(self, now: float) -> models.ColdShare:
         """Return which part of what a cold start bears may be used."""
-        platform = now - self._platform_at <= LEASE_SECONDS
+        platform = now - self._platform_confirmed_at <= LEASE_SECONDS
         if self._instance not in self._members:
             platform = False
         peers = self._has_all_peers(now)
@@ -201,32 +205,32 @@
             return models.ColdShare.LOWER_HALF
         return models.ColdShare.NONE
 
-    def may_feed_cold(self, endpoint: str, now: float) -> bool:
+    def may_send_cold(self, endpoint: str, now: float) -> bool:
         """Return whether one more request may go to a cold endpoint.
 
         Asked between the last wait and the send: a process that was
         stopped in between finds its lease run out.
         """
-        held = self._held.get(endpoint)
-        if held is None or not self._is_settled(held, now):
+        held = self._owned.get(endpoint)
+        if held is None or not self._may_use_cold(held, now):
             return False
-        return self.assess_share(now) != models.ColdShare.NONE
+        return self.get_cold_share(now) != models.ColdShare.NONE
 
     def _has_all_peers(self, now: float) -> bool:
         if self._instance not in self._members:
             return False
         return all(
-            now - self._contacts.get(name, float("-inf")) <= LEASE_SECONDS
+            now - self._contacted_at.get(name, float("-inf")) <= LEASE_SECONDS
             for name in self._members
             if name != self._instance
         )
 
-    def _is_settled(self, held: _Held, now: float) -> bool:
-        if not held.first:
+    def _may_use_cold(self, held: _OwnedEndpoint, now: float) -> bool:
+        if not held.owner_by_list:
             return False
         if held.released:
             return True
-        return held.idle and now > held.since + TAKEOVER_SECONDS
+        return held.seen_idle and now > held.owned_since + TAKEOVER_SECONDS
 
     def _get_eligible(self) -> dict[str, Member]:
         return {
@@ -238,10 +242,10 @@
     def _reassign(
         self, before: dict[str, Member], after: dict[str, Member], now: float
     ) -> None:
-        gone = before.keys() - after.keys()
-        come = {n for n, m in after.items() if before.get(n) != m}
-        centres = {after[name].data_centre for name in come}
-        centres |= {before[name].data_centre for name in gone}
+        left = before.keys() - after.keys()
+        joined = {n for n, m in after.items() if before.get(n) != m}
+        centres = {after[name].data_centre for name in joined}
+        centres |= {before[name].data_centre for name in left}
         # Only endpoints of the data centres whose instances changed can
         # get another owner, or those that lean on other data centres:
         # the work does not grow with the whole fleet.
@@ -266,21 +270,25 @@
             owner = _choose(endpoint, centre, eligible)
             if owner is None:
                 self._owners.pop(endpoint, None)
-                self._held.pop(endpoint, None)
+                self._owned.pop(endpoint, None)
                 continue
             self._owners[endpoint] = owner
-            first = _choose(endpoint, centre, listed) == self._instance
-            self._hold(endpoint, owner == self._instance, first, now)
+            owner_by_list = _choose(endpoint, centre, listed) == self._instance
+            self._update_owned(
+                endpoint, owner == self._instance, owner_by_list, now
+            )
 
-    def _hold(
-        self, endpoint: str, owned: bool, first: bool, now: float
+    def _update_owned(
+        self, endpoint: str, owned: bool, owner_by_list: bool, now: float
     ) -> None:
         if not owned:
-            self._held.pop(endpoint, None)
+            self._owned.pop(endpoint, None)
             return
-        held = self._held.get(endpoint)
-        if held is None or held.first != first:
-            self._held[endpoint] = _Held(first=first, since=now)
+        held = self._owned.get(endpoint)
+        if held is None or held.owner_by_list != owner_by_list:
+            self._owned[endpoint] = _OwnedEndpoint(
+                owner_by_list=owner_by_list, owned_since=now
+            )
 
 
 def _group(members: dict[str, Member]) -> dict[str, list[str]]:
@@ -309,4 +317,6 @@
     names = groups.get(centre)
     if names is None:
         names = [name for group in groups.values() for name in group]
-    return max(names, key=lambda n: _weigh(endpoint, n), default=None)
+    return max(
+        names, key=lambda n: _get_rendezvous_weight(endpoint, n), default=None
+    )
--- a/citronport/scheduler/placement.py
+++ b/citronport/scheduler/placement.py
@@ -9,7 +9,7 @@
 from citronport.scheduler import models
 
 
-class Ring:
+class HashRing:
     """Endpoints of one model on a hash ring, weighted by their speed.
 
     Load: thousands of endpoints. Harm: a decision that looks at all of
@@ -25,16 +25,19 @@
         rates = [e.prefill_rate for e in endpoints]
         mean = sum(rates) / max(1, len(rates))
         # A large fleet evens out by itself, and is costly to hash.
-        usual = const.RING_TOTAL // max(1, len(endpoints))
-        usual = min(const.RING_POINTS, max(const.RING_FEWEST, usual))
+        usual = const.RING_POINTS_TOTAL // max(1, len(endpoints))
+        usual = min(
+            const.RING_POINTS_PER_ENDPOINT,
+            max(const.MIN_RING_POINTS_PER_ENDPOINT, usual),
+        )
         points = []
         for endpoint in endpoints:
             weight = endpoint.prefill_rate / mean
             for number in range(max(1, round(usual * weight))):
-                spot = hash_text(f"{endpoint.name}/{number}")
-                points.append((spot, endpoint.name))
+                position = hash_text(f"{endpoint.name}/{number}")
+                points.append((position, endpoint.name))
         points.sort()
-        self._spots = [spot for spot, _ in points]
+        self._positions = [spot for spot, _ in points]
         self._names = [name for _, name in points]
         self._size = len(endpoints)
         self.prefill_rate = mean
@@ -50,10 +53,10 @@
         prefill = prompt_tokens / max(1.0, self.prefill_rate)
         return max(prefill, output_tokens / max(1.0, self.decode_rate))
 
-    def find(self, key: int, count: int) -> list[str]:
+    def find_successors(self, key: int, count: int) -> list[str]:
         """Return up to ``count`` distinct endpoints that follow a key."""
         found: list[str] = []
-        at = bisect.bisect_left(self._spots, key)
+        at = bisect.bisect_left(self._positions, key)
         for step in range(len(self._names)):
             name = self._names[(at + step) % len(self._names)]
             if name not in found:
@@ -68,14 +71,14 @@
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def draw_part(text: str) -> float:
+def hash_to_fraction(text: str) -> float:
     """Return a number in [0, 1) that depends on a text only."""
     return hash_text(text) / 2**64
 
 
-def make_rings(
+def make_hash_rings(
     fleet: models.Fleet,
-) -> dict[tuple[models.Kind, str], Ring]:
+) -> dict[tuple[models.Kind, str], HashRing]:
     """Return a ring for each kind and model, of what is in service."""
     groups: dict[tuple[models.Kind, str], list[models.Endpoint]] = {}
     for endpoint in fleet.endpoints.values():
@@ -83,7 +86,7 @@
             continue
         for model in endpoint.models:
             groups.setdefault((endpoint.kind, model), []).append(endpoint)
-    return {group: Ring(members) for group, members in groups.items()}
+    return {group: HashRing(members) for group, members in groups.items()}
 
 
 def is_in_service(fleet: models.Fleet, endpoint: models.Endpoint) -> bool:
@@ -92,7 +95,7 @@
     return endpoint.state == models.Service.IN and centre == models.Service.IN
 
 
-def find_candidates(ring: Ring, request: models.Request) -> list[str]:
+def find_candidates(ring: HashRing, request: models.Request) -> list[str]:
     """Return endpoints to choose from, those with the prefix first.
 
     Load: documents that several requests share, uneven load. Harm: by
@@ -102,18 +105,22 @@
     """
     found = []
     if request.prefix:
-        block = min(len(request.prefix) - 1, const.AFFINITY_BLOCK)
+        block = min(len(request.prefix) - 1, const.AFFINITY_BLOCK_INDEX)
         # The key hashes the block: its own value may not be spread.
         key = hash_text(str(request.prefix[block]))
-        found = ring.find(key, const.AFFINE_CANDIDATES)
-    chance = ring.find(hash_text(request.request_id), const.RANDOM_CANDIDATES)
-    return list(dict.fromkeys([*found, *chance]))
+        found = ring.find_successors(key, const.AFFINITY_CANDIDATES)
+    random_names = ring.find_successors(
+        hash_text(request.request_id), const.RANDOM_CANDIDATES
+    )
+    return list(dict.fromkeys([*found, *random_names]))
 
 
-def find_more(
-    ring: Ring, request: models.Request, seen: collections.abc.Container[str]
+def find_further_candidates(
+    ring: HashRing,
+    request: models.Request,
+    seen: collections.abc.Container[str],
 ) -> list[str]:
     """Return a few further endpoints when the first ones are no good."""
     key = hash_text(f"{request.request_id}/more")
-    found = ring.find(key, const.RANDOM_CANDIDATES * 2)
+    found = ring.find_successors(key, const.RANDOM_CANDIDATES * 2)
     return [name for name in found if name not in seen]
--- a/citronport/scheduler/pressure.py
+++ b/citronport/scheduler/pressure.py
@@ -14,11 +14,11 @@
 from citronport.scheduler import const
 from citronport.scheduler import models
 
-LOWEST = common.TIERS - 1
+LOWEST_TIER = common.TIERS - 1
 
 
 @dataclasses.dataclass(kw_only=True)
-class Use:
+class EntryUsage:
     """What the other instances have admitted under one entry."""
 
     running: int = 0
@@ -27,38 +27,40 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class View:
+class PeerView:
     """The summaries of the other instances in one.
 
     Attributes:
-        at: clock time of the last full count.
-        instances: how many are in reach.
+        built_at: clock time of the last full count.
+        instance_count: how many are in reach.
         floor: lowest floor.
-        lowest: lowest tier that is served; -1 if none is.
+        lowest_running_tier: lowest tier that is served; -1 if none is.
         waits: shortest wait by model and tier, seconds.
-        uses: by catalogue entry.
+        usage_by_entry: by catalogue entry.
     """
 
-    at: float = -math.inf
-    instances: int = 0
-    floor: int = LOWEST
-    lowest: int = -1
+    built_at: float = -math.inf
+    instance_count: int = 0
+    floor: int = LOWEST_TIER
+    lowest_running_tier: int = -1
     waits: dict[tuple[str, int], float] = dataclasses.field(
         default_factory=dict
     )
-    uses: dict[str, Use] = dataclasses.field(default_factory=dict)
+    usage_by_entry: dict[str, EntryUsage] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 class Pressure:
     """The floor of this instance and the summaries of the others."""
 
     def __init__(self) -> None:
-        self._floor = LOWEST
-        self._since = 0.0
-        self._raised = -math.inf
+        self._floor = LOWEST_TIER
+        self._pressed_at = 0.0
+        self._raised_at = -math.inf
         self._doublings = 0
         self._peers: dict[str, tuple[models.InstanceSummary, float]] = {}
-        self._view = View()
+        self._view = PeerView()
 
     @property
     def own_floor(self) -> int:
@@ -69,7 +71,7 @@
         """
         return self._floor
 
-    def update(self, pressed: int | None, now: float) -> None:
+    def update(self, starved_tier: int | None, now: float) -> None:
         """Set the own floor.
 
         Load: saturation. Harm: a floor that rises as soon as a queue is
@@ -79,75 +81,83 @@
         came back within that time.
 
         Args:
-            pressed: highest tier that waits too long; None if none does.
+            starved_tier: highest tier that waits too long; None if none does.
             now: clock time, seconds.
         """
-        if pressed is not None and pressed <= self._floor:
-            if pressed < self._floor:
-                self._lower(pressed, now)
-            self._since = now
+        if starved_tier is not None and starved_tier <= self._floor:
+            if starved_tier < self._floor:
+                self._lower_floor(starved_tier, now)
+            self._pressed_at = now
             return
-        if self._floor < LOWEST and now - self._since >= self._get_hold():
+        if (
+            self._floor < LOWEST_TIER
+            and now - self._pressed_at >= self._get_hold_seconds()
+        ):
             self._floor += 1
-            self._raised = now
-            self._since = now
+            self._raised_at = now
+            self._pressed_at = now
 
-    def _lower(self, floor: int, now: float) -> None:
+    def _lower_floor(self, floor: int, now: float) -> None:
         self._floor = floor
-        soon = now - self._raised < 2 * self._get_hold()
-        more = min(const.HOLD_DOUBLINGS, self._doublings + 1)
+        soon = now - self._raised_at < 2 * self._get_hold_seconds()
+        more = min(const.MAX_FLOOR_HOLD_DOUBLINGS, self._doublings + 1)
         self._doublings = more if soon else 0
 
-    def _get_hold(self) -> float:
-        return const.HOLD_SECONDS[self._floor] * 2**self._doublings
+    def _get_hold_seconds(self) -> float:
+        return const.FLOOR_HOLD_SECONDS[self._floor] * 2**self._doublings
 
-    def take_summary(
+    def record_summary(
         self, summary: models.InstanceSummary, now: float
     ) -> None:
         """Note what another instance told."""
         known = self._peers.get(summary.instance)
         self._peers[summary.instance] = (summary, now)
         view = self._view
-        _add_urgent(view, summary)
-        if known is not None and known[1] > view.at - const.SUMMARY_SECONDS:
-            _add_uses(view, known[0], -1)
+        _merge_pressure(view, summary)
+        if (
+            known is not None
+            and known[1] > view.built_at - const.SUMMARY_MAX_AGE_SECONDS
+        ):
+            _add_usage(view, known[0], -1)
         else:
-            view.instances += 1
-        _add_uses(view, summary, 1)
+            view.instance_count += 1
+        _add_usage(view, summary, 1)
 
-    def forget(self, instance: str) -> None:
+    def remove_peer(self, instance: str) -> None:
         """Another instance is out of reach."""
         self._peers.pop(instance, None)
-        self._view.at = -math.inf
+        self._view.built_at = -math.inf
 
     def get_peer(
         self, instance: str, now: float
     ) -> models.InstanceSummary | None:
         """Return a summary that is not too old."""
         known = self._peers.get(instance)
-        if known is None or now - known[1] > const.SUMMARY_SECONDS:
+        if known is None or now - known[1] > const.SUMMARY_MAX_AGE_SECONDS:
             return None
         return known[0]
 
-    def get_view(self, now: float) -> View:
+    def get_view(self, now: float) -> PeerView:
         """Return the other instances as one.
 
         Load: hundreds of instances. Harm: each event costs more with each
         of them. The sum is made anew at a steady pace; in between a new
         summary only adds what makes this instance more careful.
         """
-        if now - self._view.at < const.VIEW_SECONDS:
+        if now - self._view.built_at < const.VIEW_MAX_AGE_SECONDS:
             return self._view
-        view = View(at=now)
+        view = PeerView(built_at=now)
         for summary, at in self._peers.values():
-            if now - at <= const.SUMMARY_SECONDS:
-                view.instances += 1
-                _add_urgent(view, summary)
-                _add_uses(view, summary, 1)
+            if now - at <= const.SUMMARY_MAX_AGE_SECONDS:
+                view.instance_count += 1
+                _merge_pressure(view, summary)
+                _add_usage(view, summary, 1)
         self._view = view
         return view
 
-    def get_wait(self, model: str, tier: int, now: float) -> float:
+    def get_shortest_peer_wait(
+        self, model: str, tier: int, now: float
+    ) -> float:
         """Return the shortest wait that another instance tells of."""
         return self.get_view(now).waits.get((model, tier), math.inf)
 
@@ -155,7 +165,7 @@
         """Return the lowest tier that may be started now."""
         return min(self._floor, self.get_view(now).floor)
 
-    def has_lower(self, tier: int, own: list[int], now: float) -> bool:
+    def serves_lower_tier(self, tier: int, own: list[int], now: float) -> bool:
         """Return whether a lower tier is served anywhere in reach.
 
         Args:
@@ -163,14 +173,17 @@
             own: requests that run here, by tier.
             now: clock time, seconds.
         """
-        return sum(own[tier + 1 :]) > 0 or self.get_view(now).lowest > tier
+        return (
+            sum(own[tier + 1 :]) > 0
+            or self.get_view(now).lowest_running_tier > tier
+        )
 
 
-def _add_urgent(view: View, summary: models.InstanceSummary) -> None:
+def _merge_pressure(view: PeerView, summary: models.InstanceSummary) -> None:
     view.floor = min(view.floor, summary.floor)
     for tier, count in enumerate(summary.running):
         if count:
-            view.lowest = max(view.lowest, tier)
+            view.lowest_running_tier = max(view.lowest_running_tier, tier)
     if summary.leaving:
         return
     for model, waits in summary.waits.items():
@@ -179,9 +192,11 @@
             view.waits[model, tier] = min(known, wait)
 
 
-def _add_uses(view: View, summary: models.InstanceSummary, sign: int) -> None:
+def _add_usage(
+    view: PeerView, summary: models.InstanceSummary, sign: int
+) -> None:
     for name, running in summary.usage.items():
-        use = view.uses.setdefault(name, Use())
+        use = view.usage_by_entry.setdefault(name, EntryUsage())
         use.running += sign * running
         use.rate += sign * summary.rates.get(name, 0.0)
         use.token_rate += sign * summary.token_rates.get(name, 0.0)
--- a/citronport/scheduler/shift.py
+++ b/citronport/scheduler/rebalancing.py
@@ -8,7 +8,7 @@
 from citronport.scheduler import queue
 
 
-def find_pressed(
+def find_starved_tier(
     owner: owner_module.Owner,
     get_peer_wait: collections.abc.Callable[[str, int], float],
     now: float,
@@ -27,13 +27,17 @@
     ):
         wait = owner.get_queue_wait(group, tier)
         for waiting in itertools.islice(
-            owner.queue.iterate_heads(group, tier), owner_module.HEADS
+            owner.queue.iterate_heads(group, tier),
+            owner_module.MAX_HEADS_CHECKED,
         ):
-            slack = waiting.request.deadline - waiting.since
-            longest = max(now - waiting.since, wait)
-            if longest <= slack * const.FLOOR_PRESSURE[tier]:
+            slack = waiting.request.deadline - waiting.queued_at
+            longest = max(now - waiting.queued_at, wait)
+            if longest <= slack * const.PRESSURE_SLACK_FRACTIONS[tier]:
                 continue
-            if get_peer_wait(group[1], tier) > longest * const.MOVE_GAIN:
+            if (
+                get_peer_wait(group[1], tier)
+                > longest * const.MOVE_MAX_WAIT_RATIO
+            ):
                 return tier
     return None
 
@@ -42,7 +46,7 @@
     owner: owner_module.Owner,
     get_peer_wait: collections.abc.Callable[[str, int], float],
     now: float,
-) -> list[queue.Waiting]:
+) -> list[queue.QueuedRequest]:
     """Return a few requests that would wait far less elsewhere.
 
     Load: forwards by summaries a moment old, and endpoints that slow
@@ -55,19 +59,21 @@
     ):
         ahead = sum(owner.queue.get_cost(group, t) for t in range(tier + 1))
         wait = owner.estimate_wait(group, ahead, now)
-        if get_peer_wait(group[1], tier) > wait * const.MOVE_GAIN:
+        if get_peer_wait(group[1], tier) > wait * const.MOVE_MAX_WAIT_RATIO:
             continue
         for waiting in itertools.islice(
-            owner.queue.iterate_tails(group, tier), owner_module.HEADS
+            owner.queue.iterate_tails(group, tier),
+            owner_module.MAX_HEADS_CHECKED,
         ):
             left = waiting.request.deadline - now
-            waited = now - waiting.since
+            waited = now - waiting.queued_at
             if waited < max(
-                const.MOVE_SECONDS, const.MOVE_PART * (waited + left)
+                const.MOVE_MIN_WAIT_SECONDS,
+                const.MOVE_MIN_SLACK_FRACTION * (waited + left),
             ):
                 continue
-            if wait > left * const.PATIENCE:
+            if wait > left * const.AFFINITY_SLACK_FRACTION:
                 found.append(waiting)
-            if len(found) >= const.MOVES:
+            if len(found) >= const.MAX_MOVES_PER_CHECK:
                 return found
     return found
--- a/citronport/scheduler/refusal.py
+++ b/citronport/scheduler/refusal.py
@@ -6,7 +6,7 @@
 from citronport.scheduler import placement
 
 
-def refuse(
+def make_refusal(
     request: models.Request, code: errors.Code, wait: float | None
 ) -> models.Refuse:
     """Return the final answer of a request that is given up.
@@ -24,9 +24,9 @@
     """
     retry_after = None
     if wait is not None:
-        spread = 0.75 + 0.5 * placement.draw_part(request.request_id)
-        bounded = max(const.RETRY_SHORTEST, wait) * spread
-        retry_after = round(min(const.RETRY_LONGEST, bounded), 2)
+        spread = 0.75 + 0.5 * placement.hash_to_fraction(request.request_id)
+        bounded = max(const.MIN_RETRY_AFTER_SECONDS, wait) * spread
+        retry_after = round(min(const.MAX_RETRY_AFTER_SECONDS, bounded), 2)
     return models.Refuse(
         request_id=request.request_id,
         refusal=errors.Refusal(code=code, retry_after=retry_after),
--- a/citronport/scheduler/routing.py
+++ b/citronport/scheduler/routing.py
@@ -20,14 +20,14 @@
         instance: its name.
         wait: seconds until the request starts there.
         score: expected seconds until its first token.
-        key: affinity key of the prefix, if it has one.
+        affinity_key: affinity key of the prefix, if it has one.
         endpoint: the candidate that the instance was chosen for.
     """
 
     instance: str
     wait: float
     score: float
-    key: int | None
+    affinity_key: int | None
     endpoint: str
 
 
@@ -49,20 +49,20 @@
         self._instance = instance
         self._owner = owner
         self._pressure = pressure
-        self._rings: dict[queue.Group, placement.Ring] = {}
+        self._rings: dict[queue.Group, placement.HashRing] = {}
         self._fleet: models.Fleet | None = None
         self._owners: dict[str, str] = {}
-        self._sent: collections.Counter[tuple[str, str]] = (
+        self._unreported_cost: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
-        self._places: collections.OrderedDict[int, str] = (
+        self._endpoint_by_prefix: collections.OrderedDict[int, str] = (
             collections.OrderedDict()
         )
 
     def apply(
         self,
         fleet: models.Fleet,
-        rings: dict[queue.Group, placement.Ring],
+        rings: dict[queue.Group, placement.HashRing],
         owners: dict[str, str],
     ) -> None:
         """Follow the catalogue and the ownership."""
@@ -70,10 +70,10 @@
         self._rings = rings
         self._owners = owners
 
-    def forget_sent(self, instance: str) -> None:
+    def clear_unreported_cost(self, instance: str) -> None:
         """A new summary of an instance counts what was sent to it."""
-        for key in [k for k in self._sent if k[0] == instance]:
-            del self._sent[key]
+        for key in [k for k in self._unreported_cost if k[0] == instance]:
+            del self._unreported_cost[key]
 
     def choose(
         self,
@@ -88,63 +88,66 @@
         names = placement.find_candidates(ring, request)
         best = self._choose_among(ring, names, request, refused_by, now)
         slack = request.deadline - now
-        if best is None or best.wait > slack * const.PRESSURE:
-            names += placement.find_more(ring, request, names)
+        if best is None or best.wait > slack * const.URGENT_SLACK_FRACTION:
+            names += placement.find_further_candidates(ring, request, names)
             best = self._choose_among(ring, names, request, refused_by, now)
         return best
 
     def record(self, request: models.Request, choice: Choice) -> None:
         """Note that a request goes to the chosen instance."""
-        if choice.key is not None:
-            self._places[choice.key] = choice.endpoint
-            self._places.move_to_end(choice.key)
-            if len(self._places) > const.MEMORY_ENTRIES:
-                self._places.popitem(last=False)
+        if choice.affinity_key is not None:
+            self._endpoint_by_prefix[choice.affinity_key] = choice.endpoint
+            self._endpoint_by_prefix.move_to_end(choice.affinity_key)
+            if len(self._endpoint_by_prefix) > const.MAX_REMEMBERED_ENTRIES:
+                self._endpoint_by_prefix.popitem(last=False)
         cost = self._owner.estimate_cost(request)
-        self._sent[choice.instance, request.model] += cost
+        self._unreported_cost[choice.instance, request.model] += cost
 
     def _choose_among(
         self,
-        ring: placement.Ring,
+        ring: placement.HashRing,
         names: list[str],
         request: models.Request,
         refused_by: tuple[str, ...],
         now: float,
     ) -> Choice | None:
-        key = None
+        affinity_key = None
         if request.prefix:
-            block = min(len(request.prefix) - 1, const.AFFINITY_BLOCK)
-            key = request.prefix[block]
+            block = min(len(request.prefix) - 1, const.AFFINITY_BLOCK_INDEX)
+            affinity_key = request.prefix[block]
         best: Choice | None = None
         for name in names:
             instance = self._owners.get(name)
             if instance is None or instance in refused_by:
                 continue
-            wait = self._get_wait(instance, request, now)
+            wait = self._estimate_wait(instance, request, now)
             if wait == math.inf:
                 continue
-            prefill = self._get_prefill(name, key, request)
+            prefill = self._estimate_prefill(name, affinity_key, request)
             score = wait + prefill * const.PREFILL_WEIGHT
             if best is None or score < best.score:
                 best = Choice(
                     instance=instance,
                     wait=wait,
                     score=score,
-                    key=key,
+                    affinity_key=affinity_key,
                     endpoint=name,
                 )
         return best
 
-    def _get_prefill(
-        self, name: str, key: int | None, request: models.Request
+    def _estimate_prefill(
+        self, name: str, affinity_key: int | None, request: models.Request
     ) -> float:
         assert self._fleet is not None
         rate = self._fleet.endpoints[name].prefill_rate
-        known = key is not None and self._places.get(key) == name
+        known = (
+            affinity_key is not None
+            and self._endpoint_by_prefix.get(affinity_key) == name
+        )
         part = 0.2 if known else 1.0
         return request.prompt_tokens * part / rate
 
-    def _get_wait(
+    def _estimate_wait(
         self, instance: str, request: models.Request, now: float
     ) -> float:
         group = queue.get_group(request)
@@ -156,10 +159,13 @@
             return self._owner.estimate_wait(group, ahead, now)
         summary = self._pressure.get_peer(instance, now)
         if summary is None:
-            return const.UNKNOWN_WAIT
+            return const.UNREPORTED_WAIT_SECONDS
         if summary.leaving:
             return math.inf
         waits = summary.waits.get(request.model)
         if waits is None:
-            return math.inf if summary.waits else const.UNKNOWN_WAIT
-        return waits[request.tier] + self._sent[instance, request.model]
+            return math.inf if summary.waits else const.UNREPORTED_WAIT_SECONDS
+        return (
+            waits[request.tier]
+            + self._unreported_cost[instance, request.model]
+        )
--- a/citronport/scheduler/shedding.py
+++ b/citronport/scheduler/shedding.py
@@ -10,35 +10,35 @@
 from citronport.scheduler import refusal
 
 
-class Shedding:
+class Shedder:
     """Knows the floor in force and refuses what is below it for long."""
 
     def __init__(
         self,
         owner: owner_module.Owner,
         pressure: pressure_module.Pressure,
-        limits: limits_module.Limits,
+        limiter: limits_module.Limiter,
     ) -> None:
         self._owner = owner
         self._pressure = pressure
-        self._limits = limits
-        self._floor = pressure_module.LOWEST
-        self._since = 0.0
+        self._limiter = limiter
+        self._floor = pressure_module.LOWEST_TIER
+        self._floor_lowered_at = 0.0
 
     def get_floor(self, now: float) -> int:
         """Return the lowest tier that may be started now."""
         floor = self._pressure.get_floor(now)
         if floor < self._floor:
-            self._since = now
+            self._floor_lowered_at = now
         self._floor = floor
         return floor
 
-    def has_lower(self, request: models.Request, now: float) -> bool:
+    def serves_lower_tier(self, request: models.Request, now: float) -> bool:
         """Return whether a lower tier is served anywhere in reach."""
         running = self._owner.get_running()
-        return self._pressure.has_lower(request.tier, running, now)
+        return self._pressure.serves_lower_tier(request.tier, running, now)
 
-    def is_floored(self, request: models.Request, now: float) -> bool:
+    def is_below_floor(self, request: models.Request, now: float) -> bool:
         """Return whether a request's tier is not started for too long.
 
         Load: bursts, and overload that lasts. Harm: refused at the first
@@ -50,8 +50,10 @@
         if request.tier <= self.get_floor(now):
             return False
         slack = request.deadline - now
-        lasting = now - self._since > slack * const.PRESSURE
-        return lasting and not self.has_lower(request, now)
+        lasting = (
+            now - self._floor_lowered_at > slack * const.URGENT_SLACK_FRACTION
+        )
+        return lasting and not self.serves_lower_tier(request, now)
 
     def shed(
         self, request: models.Request, code: errors.Code, now: float
@@ -61,6 +63,6 @@
         ahead = self._owner.queue.get_cost_ahead(request, 1.0)
         wait = ahead / max(0.1, self._owner.get_capacity(group))
         if request.tier > self.get_floor(now):
-            wait += const.RETRY_FLOORED
-        self._limits.finish(request)
-        return [refusal.refuse(request, code, wait)]
+            wait += const.BELOW_FLOOR_RETRY_SECONDS
+        self._limiter.finish(request)
+        return [refusal.make_refusal(request, code, wait)]
--- a/citronport/scheduler/summary.py
+++ b/citronport/scheduler/summary.py
@@ -10,27 +10,27 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Source:
+class SummarySource:
     """The parts of a scheduler that a summary is made of."""
 
     instance: str
     fleet: models.Fleet | None
     groups: tuple[queue.Group, ...]
     owner: owner_module.Owner
-    limits: limits_module.Limits
+    limiter: limits_module.Limiter
     floor: int
     leaving: bool
 
 
-def make_summary(source: Source, now: float) -> models.InstanceSummary:
+def make_summary(source: SummarySource, now: float) -> models.InstanceSummary:
     """Return the summary of an instance; its size grows with the models."""
-    usage = source.limits.summarize(now)
+    usage = source.limiter.summarize(now)
     owner = source.owner
     offered = [g for g in source.groups if owner.get_usable(g)]
     return models.InstanceSummary(
         instance=source.instance,
         version=source.fleet.version if source.fleet else 0,
-        queued_tokens=_count_queued(owner),
+        queued_tokens=_sum_queued_tokens(owner),
         running=tuple(owner.get_running()),
         free={g[1]: _count_free(owner, g) for g in offered},
         floor=source.floor,
@@ -42,7 +42,7 @@
     )
 
 
-def _count_queued(owner: owner_module.Owner) -> tuple[int, ...]:
+def _sum_queued_tokens(owner: owner_module.Owner) -> tuple[int, ...]:
     queued = [0] * common.TIERS
     for waiting in owner.queue.iterate_all():
         request = waiting.request
--- a/measures/capacity/catalogue.py
+++ b/measures/capacity/catalogue.py
@@ -143,7 +143,7 @@
     began = time.process_time()
     assert holder.fleet is not None
     scheduler.handle(models.FleetChanged(fleet=holder.fleet), 0.0)
-    scheduler.handle(owners.assess(1.0), 1.0)
+    scheduler.handle(owners.get_ownership(1.0), 1.0)
     told = time.process_time() - began
     fleet = dataclasses.replace(
         holder.fleet,
@@ -174,7 +174,7 @@
     scheduler = core.Scheduler("entry-0")
     assert holder.fleet is not None
     scheduler.handle(models.FleetChanged(fleet=holder.fleet), 0.0)
-    scheduler.handle(owners.assess(1.0), 1.0)
+    scheduler.handle(owners.get_ownership(1.0), 1.0)
     current, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (current + len(text)) / 1e6
--- a/tests/scheduler/test_budget.py
+++ b/tests/scheduler/test_budget.py
@@ -214,20 +214,20 @@
         """Take an endpoint over and connect."""
         super().setUp()
         self.state = budget.make_state(SPEC, 0.0)
-        budget.connect(self.state, 1.0)
+        budget.record_connection(self.state, 1.0)
 
     def report(self, now, age, *, cold=False, running=0):
         """Bring a report."""
         report = models.LoadReport(
             running=running, queued=0, cold=cold, age=age
         )
-        budget.take_report(self.state, report, now)
+        budget.apply_report(self.state, report, now)
 
     def test_report_from_before_the_start_says_nothing(self):
         """A late "warm" of the earlier start must not fill the new one."""
         self.report(2.0, age=1.5)
         self.assertFalse(self.state.warm)
-        self.assertIsNone(self.state.foreign)
+        self.assertIsNone(self.state.foreign_count)
         self.report(2.0, age=0.5)
         self.assertTrue(self.state.warm)
 
@@ -256,7 +256,7 @@
         """Take an endpoint that was shown warm."""
         super().setUp()
         self.state = budget.make_state(SPEC, 0.0)
-        budget.connect(self.state, 0.0)
+        budget.record_connection(self.state, 0.0)
         self.report(1.0)
 
     def report(self, now):
@@ -265,7 +265,7 @@
         report = models.LoadReport(
             running=running, queued=0, cold=False, age=0.1
         )
-        budget.take_report(self.state, report, now)
+        budget.apply_report(self.state, report, now)
 
     def send(self, number, now):
         """Send a request for an answer in one piece, if it may start."""
@@ -292,11 +292,11 @@
         the endpoint's usual speed. Its first piece is its last.
         """
         self.assertTrue(self.send(1, 2.0))
-        self.assertFalse(budget.find_overdue(self.state, 9.0))
+        self.assertFalse(budget.has_overdue_first_token(self.state, 9.0))
         budget.record_first_token(self.state, "1", 12.0)
         budget.record_end(self.state, "1", 12.0, 350)
-        self.assertEqual(1.0, self.state.slow)
-        self.assertLess(self.state.decode, 100.0)
+        self.assertEqual(1.0, self.state.slowdown)
+        self.assertLess(self.state.decode_rate, 100.0)
 
     def test_reports_end_a_slow_start(self):
         """Long answers alone do not keep an idle endpoint nearly idle."""
--- a/tests/scheduler/test_ownership.py
+++ b/tests/scheduler/test_ownership.py
@@ -34,23 +34,23 @@
 
     def confirm(self, now):
         """Renew both authorities."""
-        self.owners.note_platform(now)
+        self.owners.record_platform_confirmation(now)
         for name in self.others:
-            self.owners.note_contact(name, now, 1)
+            self.owners.record_contact(name, now, 1)
 
     def test_new_owner_waits_for_idle_endpoint(self):
         """An earlier owner's lease and work must be over first."""
         self.confirm(7.0)
-        self.owners.note_idle("engine", 3.5)
-        self.assertFalse(self.owners.may_feed_cold("engine", 7.0))
-        self.owners.note_idle("engine", 3.7)
-        self.assertTrue(self.owners.may_feed_cold("engine", 7.0))
+        self.owners.record_idle("engine", 3.5)
+        self.assertFalse(self.owners.may_send_cold("engine", 7.0))
+        self.owners.record_idle("engine", 3.7)
+        self.assertTrue(self.owners.may_send_cold("engine", 7.0))
 
     def test_release_ends_the_wait(self):
         """The earlier owner says that it has nothing more there."""
         self.confirm(1.0)
-        self.owners.note_release("engine")
-        self.assertTrue(self.owners.may_feed_cold("engine", 1.0))
+        self.owners.record_release("engine")
+        self.assertTrue(self.owners.may_send_cold("engine", 1.0))
 
     def test_lease_runs_out_in_a_stopped_process(self):
         """No send to a cold start after a pause longer than the lease.
@@ -60,8 +60,8 @@
         endpoint would get both and fall over.
         """
         self.confirm(1.0)
-        self.owners.note_release("engine")
-        self.assertFalse(self.owners.may_feed_cold("engine", 4.1))
+        self.owners.record_release("engine")
+        self.assertFalse(self.owners.may_send_cold("engine", 4.1))
 
     def test_announced_leave_gives_no_right_to_a_cold_start(self):
         """Only the list does; an announcement may reach some only."""
@@ -71,10 +71,10 @@
         owners.update_members(make_members(NAMES), 1, 0.0)
         for name in set(NAMES) - {second}:
             owners.update_leaving(name, True, 0.0)
-        owners.note_platform(10.0)
-        owners.note_idle("engine", 9.0)
-        self.assertEqual({"engine"}, owners.assess(10.0).owned)
-        self.assertFalse(owners.may_feed_cold("engine", 10.0))
+        owners.record_platform_confirmation(10.0)
+        owners.record_idle("engine", 9.0)
+        self.assertEqual({"engine"}, owners.get_ownership(10.0).owned)
+        self.assertFalse(owners.may_send_cold("engine", 10.0))
 
     def test_answer_under_another_list_is_no_contact(self):
         """All peers must stand behind the list by which this one owns.
@@ -83,12 +83,14 @@
         that answered before the list changed has not seen the change.
         """
         for name in self.others:
-            self.owners.note_contact(name, 1.0, 2)
-        self.assertEqual(models.ColdShare.NONE, self.owners.assess_share(1.0))
+            self.owners.record_contact(name, 1.0, 2)
+        self.assertEqual(
+            models.ColdShare.NONE, self.owners.get_cold_share(1.0)
+        )
         self.confirm(1.0)
         self.owners.update_members(make_members(NAMES), 2, 1.5)
         self.assertEqual(
-            models.ColdShare.UPPER_HALF, self.owners.assess_share(1.5)
+            models.ColdShare.UPPER_HALF, self.owners.get_cold_share(1.5)
         )
 
     def test_own_leave_does_not_end_another_one(self):
@@ -111,17 +113,19 @@
 
     def test_halves_without_one_authority(self):
         """Each authority alone gives its half."""
-        self.assertEqual(models.ColdShare.NONE, self.owners.assess_share(1.0))
-        self.owners.note_platform(1.0)
         self.assertEqual(
-            models.ColdShare.UPPER_HALF, self.owners.assess_share(1.0)
+            models.ColdShare.NONE, self.owners.get_cold_share(1.0)
+        )
+        self.owners.record_platform_confirmation(1.0)
+        self.assertEqual(
+            models.ColdShare.UPPER_HALF, self.owners.get_cold_share(1.0)
         )
         self.confirm(2.0)
-        self.assertEqual(models.ColdShare.ALL, self.owners.assess_share(2.0))
+        self.assertEqual(models.ColdShare.ALL, self.owners.get_cold_share(2.0))
         self.confirm(9.0)
-        self.owners._platform_at = 0.0
+        self.owners._platform_confirmed_at = 0.0
         self.assertEqual(
-            models.ColdShare.LOWER_HALF, self.owners.assess_share(9.0)
+            models.ColdShare.LOWER_HALF, self.owners.get_cold_share(9.0)
         )
 
 
@@ -168,14 +172,14 @@
         for name in awake:
             if name in self.reading:
                 self.see_list(name, self.version, set(self.listed))
-                self.views[name].note_platform(self.now)
+                self.views[name].record_platform_confirmation(self.now)
         for _ in NAMES:
             for asking in awake:
                 for answering in awake:
                     self.ask(asking, answering)
         if not any(self.at_endpoint.values()):
             for name in awake:
-                self.views[name].note_idle("engine", self.now)
+                self.views[name].record_idle("engine", self.now)
 
     def ask(self, asking, answering):
         """Let one instance hear of another."""
@@ -184,7 +188,7 @@
         version = self.versions[answering]
         if version > self.versions[asking]:
             self.see_list(asking, version, self.lists[version])
-        self.views[asking].note_contact(answering, self.now, version)
+        self.views[asking].record_contact(answering, self.now, version)
 
     @stateful.rule(seconds=strategies.sampled_from([1.0, 4.0, 7.0]))
     def pass_time(self, seconds):
@@ -227,10 +231,10 @@
     def send(self):
         """Let all that run send as much as they believe they may."""
         for name, view in self.views.items():
-            share = budget.take_share(BEARS, view.assess_share(self.now))
+            share = budget.get_share(BEARS, view.get_cold_share(self.now))
             while (
                 name not in self.stopped
-                and view.may_feed_cold("engine", self.now)
+                and view.may_send_cold("engine", self.now)
                 and self.at_endpoint[name] < share
             ):
                 self.at_endpoint[name] += 1
