--- a/citronport/scheduler/admission.py
+++ b/citronport/scheduler/admission.py
@@ -66,7 +66,7 @@
         waiting = queue.QueuedRequest(
             request=request,
             queued_at=now,
-            cost=owner.estimate_cost(request),
+            cost_seconds=owner.estimate_cost(request),
             forwarded=forwarded,
             failed_dispatches=failed_dispatches,
         )
--- a/citronport/scheduler/core.py
+++ b/citronport/scheduler/core.py
@@ -179,10 +179,10 @@
     ) -> list[models.Action]:
         if self.fleet is not None and fleet.version < self.fleet.version:
             return []
-        known = self.fleet
+        previous = self.fleet
         self.fleet = fleet
         # Most changes are of one owner's limits: the rings stay.
-        if known is None or (known.endpoints, known.data_centres) != (
+        if previous is None or (previous.endpoints, previous.data_centres) != (
             fleet.endpoints,
             fleet.data_centres,
         ):
--- a/citronport/scheduler/estimate.py
+++ b/citronport/scheduler/estimate.py
@@ -27,26 +27,26 @@
 
     def record_output(self, entry: str, tokens: float) -> None:
         """Take in the length of an answer."""
-        known = self._output.get(entry, tokens)
-        self._output[entry] = known + const.MOVING_AVERAGE_WEIGHT * (
-            tokens - known
+        mean = self._output.get(entry, tokens)
+        self._output[entry] = mean + const.MOVING_AVERAGE_WEIGHT * (
+            tokens - mean
         )
         self._output.move_to_end(entry)
         while len(self._output) > const.MAX_REMEMBERED_ENTRIES:
             dropped, _ = self._output.popitem(last=False)
             self._cached.pop(dropped, None)
 
-    def record_cached(self, entry: str, part: float) -> None:
+    def record_cached(self, entry: str, fraction: float) -> None:
         """Take in which part of a prompt was cached."""
-        known = self._cached.get(entry, part)
-        self._cached[entry] = known + const.MOVING_AVERAGE_WEIGHT * (
-            part - known
+        mean = self._cached.get(entry, fraction)
+        self._cached[entry] = mean + const.MOVING_AVERAGE_WEIGHT * (
+            fraction - mean
         )
 
     def estimate_output(self, request: models.Request) -> float:
         """Return the expected answer tokens."""
-        known = self._output.get(request.entry, const.DEFAULT_OUTPUT_TOKENS)
-        return min(known, float(request.max_tokens or known))
+        mean = self._output.get(request.entry, const.DEFAULT_OUTPUT_TOKENS)
+        return min(mean, float(request.max_tokens or mean))
 
     def estimate_uncached(self, request: models.Request) -> float:
         """Return the prompt tokens that are expected to need prefill."""
--- a/citronport/scheduler/limits.py
+++ b/citronport/scheduler/limits.py
@@ -88,8 +88,8 @@
         if token_rate is not None and usage.tokens < min(
             tokens, token_rate * WINDOW_SECONDS
         ):
-            missing = min(tokens, token_rate * WINDOW_SECONDS) - usage.tokens
-            return errors.Code.TOKEN_LIMIT, missing / token_rate
+            shortfall = min(tokens, token_rate * WINDOW_SECONDS) - usage.tokens
+            return errors.Code.TOKEN_LIMIT, shortfall / token_rate
         usage.requests -= 1
         usage.tokens -= tokens
         usage.rate += 1 / WINDOW_SECONDS
--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -158,8 +158,8 @@
     ) -> None:
         """Note that another instance answered a question sent at a time."""
         if list_version == self._list_version:
-            known = self._contacted_at.get(instance, asked_at)
-            self._contacted_at[instance] = max(known, asked_at)
+            previous = self._contacted_at.get(instance, asked_at)
+            self._contacted_at[instance] = max(previous, asked_at)
 
     def record_release(self, endpoint: str) -> None:
         """Note that the earlier owner has nothing more at an endpoint."""
@@ -196,7 +196,7 @@
         platform = now - self._platform_confirmed_at <= LEASE_SECONDS
         if self._instance not in self._members:
             platform = False
-        peers = self._has_all_peers(now)
+        peers = self._has_recent_contact_with_all(now)
         if platform and peers:
             return models.ColdShare.ALL
         if platform:
@@ -216,7 +216,7 @@
             return False
         return self.get_cold_share(now) != models.ColdShare.NONE
 
-    def _has_all_peers(self, now: float) -> bool:
+    def _has_recent_contact_with_all(self, now: float) -> bool:
         if self._instance not in self._members:
             return False
         return all(
@@ -249,13 +249,13 @@
         # Only endpoints of the data centres whose instances changed can
         # get another owner, or those that lean on other data centres:
         # the work does not grow with the whole fleet.
-        with_own = {member.data_centre for member in after.values()}
-        touched = {
+        occupied_centres = {member.data_centre for member in after.values()}
+        affected = {
             name
             for name, centre in self._endpoints.items()
-            if centre in centres or centre not in with_own
+            if centre in centres or centre not in occupied_centres
         }
-        self._assign(touched, now)
+        self._assign(affected, now)
 
     def _assign(
         self, endpoints: collections.abc.Iterable[str], now: float
--- a/citronport/scheduler/placement.py
+++ b/citronport/scheduler/placement.py
@@ -25,24 +25,24 @@
         rates = [e.prefill_rate for e in endpoints]
         mean = sum(rates) / max(1, len(rates))
         # A large fleet evens out by itself, and is costly to hash.
-        usual = const.RING_POINTS_TOTAL // max(1, len(endpoints))
-        usual = min(
+        points_per_endpoint = const.RING_POINTS_TOTAL // max(1, len(endpoints))
+        points_per_endpoint = min(
             const.RING_POINTS_PER_ENDPOINT,
-            max(const.MIN_RING_POINTS_PER_ENDPOINT, usual),
+            max(const.MIN_RING_POINTS_PER_ENDPOINT, points_per_endpoint),
         )
         points = []
         for endpoint in endpoints:
             weight = endpoint.prefill_rate / mean
-            for number in range(max(1, round(usual * weight))):
-                position = hash_text(f"{endpoint.name}/{number}")
+            for replica in range(max(1, round(points_per_endpoint * weight))):
+                position = hash_text(f"{endpoint.name}/{replica}")
                 points.append((position, endpoint.name))
         points.sort()
         self._positions = [spot for spot, _ in points]
         self._names = [name for _, name in points]
         self._size = len(endpoints)
         self.prefill_rate = mean
-        slots = [e.decode_rate * 0.6 * e.concurrency for e in endpoints]
-        self.decode_rate = sum(slots) / max(1, len(slots))
+        batch_rates = [e.decode_rate * 0.6 * e.concurrency for e in endpoints]
+        self.decode_rate = sum(batch_rates) / max(1, len(batch_rates))
 
     def get_cost(self, prompt_tokens: float, output_tokens: float) -> float:
         """Return the seconds of a mean endpoint that a request takes.
@@ -56,9 +56,9 @@
     def find_successors(self, key: int, count: int) -> list[str]:
         """Return up to ``count`` distinct endpoints that follow a key."""
         found: list[str] = []
-        at = bisect.bisect_left(self._positions, key)
+        start = bisect.bisect_left(self._positions, key)
         for step in range(len(self._names)):
-            name = self._names[(at + step) % len(self._names)]
+            name = self._names[(start + step) % len(self._names)]
             if name not in found:
                 found.append(name)
             if len(found) >= min(count, self._size):
--- a/citronport/scheduler/pressure.py
+++ b/citronport/scheduler/pressure.py
@@ -99,9 +99,9 @@
 
     def _lower_floor(self, floor: int, now: float) -> None:
         self._floor = floor
-        soon = now - self._raised_at < 2 * self._get_hold_seconds()
-        more = min(const.MAX_FLOOR_HOLD_DOUBLINGS, self._doublings + 1)
-        self._doublings = more if soon else 0
+        recurred = now - self._raised_at < 2 * self._get_hold_seconds()
+        doublings = min(const.MAX_FLOOR_HOLD_DOUBLINGS, self._doublings + 1)
+        self._doublings = doublings if recurred else 0
 
     def _get_hold_seconds(self) -> float:
         return const.FLOOR_HOLD_SECONDS[self._floor] * 2**self._doublings
@@ -110,15 +110,15 @@
         self, summary: models.InstanceSummary, now: float
     ) -> None:
         """Note what another instance told."""
-        known = self._peers.get(summary.instance)
+        previous = self._peers.get(summary.instance)
         self._peers[summary.instance] = (summary, now)
         view = self._view
         _merge_pressure(view, summary)
         if (
-            known is not None
-            and known[1] > view.built_at - const.SUMMARY_MAX_AGE_SECONDS
+            previous is not None
+            and previous[1] > view.built_at - const.SUMMARY_MAX_AGE_SECONDS
         ):
-            _add_usage(view, known[0], -1)
+            _add_usage(view, previous[0], -1)
         else:
             view.instance_count += 1
         _add_usage(view, summary, 1)
@@ -132,10 +132,13 @@
         self, instance: str, now: float
     ) -> models.InstanceSummary | None:
         """Return a summary that is not too old."""
-        known = self._peers.get(instance)
-        if known is None or now - known[1] > const.SUMMARY_MAX_AGE_SECONDS:
+        received = self._peers.get(instance)
+        if (
+            received is None
+            or now - received[1] > const.SUMMARY_MAX_AGE_SECONDS
+        ):
             return None
-        return known[0]
+        return received[0]
 
     def get_view(self, now: float) -> PeerView:
         """Return the other instances as one.
@@ -165,16 +168,18 @@
         """Return the lowest tier that may be started now."""
         return min(self._floor, self.get_view(now).floor)
 
-    def serves_lower_tier(self, tier: int, own: list[int], now: float) -> bool:
+    def serves_lower_tier(
+        self, tier: int, running: list[int], now: float
+    ) -> bool:
         """Return whether a lower tier is served anywhere in reach.
 
         Args:
             tier: the tier of a request that is about to be shed.
-            own: requests that run here, by tier.
+            running: requests that run here, by tier.
             now: clock time, seconds.
         """
         return (
-            sum(own[tier + 1 :]) > 0
+            sum(running[tier + 1 :]) > 0
             or self.get_view(now).lowest_running_tier > tier
         )
 
@@ -188,8 +193,8 @@
         return
     for model, waits in summary.waits.items():
         for tier, wait in enumerate(waits):
-            known = view.waits.get((model, tier), math.inf)
-            view.waits[model, tier] = min(known, wait)
+            shortest = view.waits.get((model, tier), math.inf)
+            view.waits[model, tier] = min(shortest, wait)
 
 
 def _add_usage(
--- a/citronport/scheduler/queue.py
+++ b/citronport/scheduler/queue.py
@@ -23,7 +23,7 @@
     Attributes:
         request: the request.
         queued_at: when it began to wait, clock seconds.
-        cost: expected work, seconds of a usual endpoint.
+        cost_seconds: expected work, seconds of a usual endpoint.
         forwarded: whether another instance sent it here.
         start_tag: start tag of the fair queue.
         failed_dispatches: dispatches that failed before a byte was sent.
@@ -31,7 +31,7 @@
 
     request: models.Request
     queued_at: float
-    cost: float
+    cost_seconds: float
     forwarded: bool = False
     start_tag: float = 0.0
     failed_dispatches: int = 0
@@ -76,13 +76,15 @@
             self._virtual_times[request.tier], self._finish_tags.get(key, 0.0)
         )
         waiting.start_tag = start
-        self._finish_tags[key] = start + waiting.cost / max(weight, 1e-6)
+        self._finish_tags[key] = start + waiting.cost_seconds / max(
+            weight, 1e-6
+        )
         workspace_queue = self._queues[get_group(request), request.tier]
         workspace_queue.setdefault(
             request.workspace, collections.deque()
         ).append(waiting)
         self._by_id[request.request_id] = waiting
-        self._add_cost(waiting, waiting.cost)
+        self._add_cost(waiting, waiting.cost_seconds)
 
     def pop(self, request_id: str) -> QueuedRequest | None:
         """Take a request out, wherever it waits."""
@@ -98,7 +100,7 @@
             workspace_queue.remove(waiting)
         if not workspace_queue:
             del self._queues[key][request.workspace]
-        self._add_cost(waiting, -waiting.cost)
+        self._add_cost(waiting, -waiting.cost_seconds)
         return waiting
 
     def start(self, request_id: str) -> None:
@@ -115,20 +117,20 @@
         self, group: Group, tier: int
     ) -> collections.abc.Iterator[QueuedRequest]:
         """Yield the first of each workspace, least served first."""
-        lines = self._queues.get((group, tier))
-        if not lines:
+        queues = self._queues.get((group, tier))
+        if not queues:
             return
-        heads = [line[0] for line in lines.values()]
+        heads = [queue[0] for queue in queues.values()]
         yield from sorted(heads, key=lambda w: w.start_tag)
 
     def iterate_tails(
         self, group: Group, tier: int
     ) -> collections.abc.Iterator[QueuedRequest]:
         """Yield the last of each workspace, most served first."""
-        lines = self._queues.get((group, tier))
-        if not lines:
+        queues = self._queues.get((group, tier))
+        if not queues:
             return
-        tails = [line[-1] for line in lines.values()]
+        tails = [queue[-1] for queue in queues.values()]
         yield from sorted(tails, key=lambda w: w.start_tag, reverse=True)
 
     def iterate_all(self) -> collections.abc.Iterator[QueuedRequest]:
@@ -137,7 +139,7 @@
 
     def get_groups(self) -> list[tuple[Group, int]]:
         """Return the groups and tiers in which something waits."""
-        return [key for key, lines in self._queues.items() if lines]
+        return [key for key, queues in self._queues.items() if queues]
 
     def get_cost(self, group: Group, tier: int) -> float:
         """Return the work that waits in one tier, seconds."""
@@ -151,25 +153,30 @@
         """
         group = get_group(request)
         higher = sum(self.get_cost(group, t) for t in range(request.tier))
-        whole = self.get_cost(group, request.tier)
-        lines = self._queues.get((group, request.tier), {})
-        active = len(lines) + (request.workspace not in lines)
-        own = self._cost_by_workspace[group, request.tier, request.workspace]
-        mean = whole / max(1, len(lines))
-        shared = max(0.0, own) * active / max(weight, 1e-6) + mean
-        return higher + min(whole, shared)
+        tier_cost = self.get_cost(group, request.tier)
+        queues = self._queues.get((group, request.tier), {})
+        active_workspaces = len(queues) + (request.workspace not in queues)
+        own_cost = self._cost_by_workspace[
+            group, request.tier, request.workspace
+        ]
+        mean_cost = tier_cost / max(1, len(queues))
+        fair_cost = (
+            max(0.0, own_cost) * active_workspaces / max(weight, 1e-6)
+            + mean_cost
+        )
+        return higher + min(tier_cost, fair_cost)
 
     def find_evictable(self, tier: int) -> QueuedRequest | None:
         """Return a request of a lower tier that may make room."""
         for lowest in range(common.TIERS - 1, tier, -1):
-            lines = [
-                line
-                for (_, each), by_workspace in self._queues.items()
-                if each == lowest
-                for line in by_workspace.values()
+            queues = [
+                queue
+                for (_, queue_tier), by_workspace in self._queues.items()
+                if queue_tier == lowest
+                for queue in by_workspace.values()
             ]
-            if lines:
-                return max(lines, key=len)[-1]
+            if queues:
+                return max(queues, key=len)[-1]
         return None
 
     def _add_cost(self, waiting: QueuedRequest, cost: float) -> None:
--- a/citronport/scheduler/rebalancing.py
+++ b/citronport/scheduler/rebalancing.py
@@ -65,14 +65,14 @@
             owner.queue.iterate_tails(group, tier),
             owner_module.MAX_HEADS_CHECKED,
         ):
-            left = waiting.request.deadline - now
+            remaining = waiting.request.deadline - now
             waited = now - waiting.queued_at
             if waited < max(
                 const.MOVE_MIN_WAIT_SECONDS,
-                const.MOVE_MIN_SLACK_FRACTION * (waited + left),
+                const.MOVE_MIN_SLACK_FRACTION * (waited + remaining),
             ):
                 continue
-            if wait > left * const.AFFINITY_SLACK_FRACTION:
+            if wait > remaining * const.AFFINITY_SLACK_FRACTION:
                 found.append(waiting)
             if len(found) >= const.MAX_MOVES_PER_CHECK:
                 return found
--- a/citronport/scheduler/refusal.py
+++ b/citronport/scheduler/refusal.py
@@ -25,8 +25,8 @@
     retry_after = None
     if wait is not None:
         spread = 0.75 + 0.5 * placement.hash_to_fraction(request.request_id)
-        bounded = max(const.MIN_RETRY_AFTER_SECONDS, wait) * spread
-        retry_after = round(min(const.MAX_RETRY_AFTER_SECONDS, bounded), 2)
+        delay = max(const.MIN_RETRY_AFTER_SECONDS, wait) * spread
+        retry_after = round(min(const.MAX_RETRY_AFTER_SECONDS, delay), 2)
     return models.Refuse(
         request_id=request.request_id,
         refusal=errors.Refusal(code=code, retry_after=retry_after),
--- a/citronport/scheduler/routing.py
+++ b/citronport/scheduler/routing.py
@@ -140,12 +140,12 @@
     ) -> float:
         assert self._fleet is not None
         rate = self._fleet.endpoints[name].prefill_rate
-        known = (
+        is_cached = (
             affinity_key is not None
             and self._endpoint_by_prefix.get(affinity_key) == name
         )
-        part = 0.2 if known else 1.0
-        return request.prompt_tokens * part / rate
+        uncached_fraction = 0.2 if is_cached else 1.0
+        return request.prompt_tokens * uncached_fraction / rate
 
     def _estimate_wait(
         self, instance: str, request: models.Request, now: float
--- a/citronport/scheduler/summary.py
+++ b/citronport/scheduler/summary.py
@@ -34,11 +34,11 @@
         running=tuple(owner.get_running()),
         free={g[1]: _count_free(owner, g) for g in offered},
         floor=source.floor,
-        usage={name: told[0] for name, told in usage.items()},
+        usage={name: used[0] for name, used in usage.items()},
         leaving=source.leaving,
         waits={g[1]: _get_waits(owner, g, now) for g in offered},
-        rates={name: told[1] for name, told in usage.items()},
-        token_rates={name: told[2] for name, told in usage.items()},
+        rates={name: used[1] for name, used in usage.items()},
+        token_rates={name: used[2] for name, used in usage.items()},
     )
 
 
--- a/tests/scheduler/test_budget.py
+++ b/tests/scheduler/test_budget.py
@@ -34,7 +34,7 @@
 )
 
 
-class OwnersMachine(stateful.RuleBasedStateMachine):
+class EndpointOwnersMachine(stateful.RuleBasedStateMachine):
     """Two instances and one endpoint, whose true state is kept here.
 
     The endpoint starts over, cold, at any moment; reports come late; the
@@ -49,37 +49,37 @@
         self.schedulers = {n: core.Scheduler(n) for n in ("a", "b")}
         self.owner = "a"
         self.cold = True
-        self.inside = {}
+        self.in_progress = {}
         self.tokens = {}
         self.reports = []
         self.received = set()
-        self.settled = set()
+        self.refused = set()
         self.count = 0
         for name in self.schedulers:
-            self.tell(name, models.FleetChanged(fleet=FLEET))
-            self.tell(name, models.EndpointConnected(endpoint="engine-1"))
+            self.deliver(name, models.FleetChanged(fleet=FLEET))
+            self.deliver(name, models.EndpointConnected(endpoint="engine-1"))
         self.assign("a")
 
-    def tell(self, name, event):
+    def deliver(self, name, event):
         """Hand an event over and let the endpoint get what is sent."""
         for action in self.schedulers[name].handle(event, self.now):
             match action:
                 case models.Dispatch():
                     self.receive(name, action.request_id)
                 case models.Refuse():
-                    assert action.request_id not in self.settled
-                    self.settled.add(action.request_id)
+                    assert action.request_id not in self.refused
+                    self.refused.add(action.request_id)
 
     def receive(self, name, request_id):
         """The endpoint gets a request and must bear it."""
         assert name == self.owner, "only the owner sends"
         assert request_id not in self.received, "sent twice"
-        assert request_id not in self.settled, "sent after its answer"
+        assert request_id not in self.refused, "sent after its answer"
         self.received.add(request_id)
-        self.inside[request_id] = (name, self.tokens[request_id])
+        self.in_progress[request_id] = (name, self.tokens[request_id])
         if self.cold:
-            assert len(self.inside) <= SPEC.cold_concurrency
-            total = sum(tokens for _, tokens in self.inside.values())
+            assert len(self.in_progress) <= SPEC.cold_concurrency
+            total = sum(tokens for _, tokens in self.in_progress.values())
             assert total <= SPEC.cold_prompt_tokens
 
     def assign(self, owner):
@@ -88,7 +88,7 @@
         owners = {"engine-1": owner}
         for name in sorted(self.schedulers, key=lambda n: n == owner):
             owned = frozenset(owners) if name == owner else frozenset()
-            self.tell(
+            self.deliver(
                 name, models.OwnershipChanged(owned=owned, owners=owners)
             )
 
@@ -108,26 +108,26 @@
             max_tokens=10,
             deadline=self.now + 1000.0,
         )
-        self.tell(
+        self.deliver(
             self.owner, models.RequestArrived(request=request, forwarded=True)
         )
 
     @stateful.rule()
     def finish(self):
         """The oldest request inside ends; its sender is told."""
-        if self.inside:
-            request_id = next(iter(self.inside))
-            name, _ = self.inside.pop(request_id)
-            self.tell(name, models.FirstToken(request_id=request_id))
-            self.tell(name, models.AnswerFinished(request_id=request_id))
+        if self.in_progress:
+            request_id = next(iter(self.in_progress))
+            name, _ = self.in_progress.pop(request_id)
+            self.deliver(name, models.FirstToken(request_id=request_id))
+            self.deliver(name, models.AnswerFinished(request_id=request_id))
 
     @stateful.rule()
     def cut(self):
         """A connection breaks, but the endpoint still works at it."""
-        if self.inside:
-            request_id, (name, _) = next(iter(self.inside.items()))
+        if self.in_progress:
+            request_id, (name, _) = next(iter(self.in_progress.items()))
             code = errors.Code.ENDPOINT_LOST
-            self.tell(
+            self.deliver(
                 name,
                 models.DispatchFailed(
                     request_id=request_id, sent=True, code=code
@@ -135,29 +135,29 @@
             )
 
     @stateful.rule()
-    def end_inside(self):
+    def end_abandoned(self):
         """The endpoint ends one whose sender is gone."""
-        for request_id in list(self.inside):
-            if request_id in self.settled:
-                del self.inside[request_id]
+        for request_id in list(self.in_progress):
+            if request_id in self.refused:
+                del self.in_progress[request_id]
                 return
 
     @stateful.rule()
     def restart(self):
         """All connections break; it comes back cold and empty."""
         self.cold = True
-        held, self.inside = self.inside, {}
+        held, self.in_progress = self.in_progress, {}
         for name in self.schedulers:
-            self.tell(name, models.EndpointLost(endpoint="engine-1"))
+            self.deliver(name, models.EndpointLost(endpoint="engine-1"))
         for request_id, (name, _) in held.items():
-            if request_id not in self.settled:
-                self.tell(
+            if request_id not in self.refused:
+                self.deliver(
                     name,
                     models.DispatchFailed(request_id=request_id, sent=True),
                 )
         self.now += 0.1
         for name in self.schedulers:
-            self.tell(name, models.EndpointConnected(endpoint="engine-1"))
+            self.deliver(name, models.EndpointConnected(endpoint="engine-1"))
 
     @stateful.rule()
     def warm_up(self):
@@ -168,7 +168,7 @@
     def make_report(self):
         """The endpoint writes a report, which is not there yet."""
         self.now += 0.1
-        self.reports.append((self.now, len(self.inside), self.cold))
+        self.reports.append((self.now, len(self.in_progress), self.cold))
 
     @stateful.rule(lag=strategies.floats(0.01, 5.0))
     def bring_report(self, lag):
@@ -181,7 +181,7 @@
             running=running, queued=0, cold=cold, age=self.now - made
         )
         for name in self.schedulers:
-            self.tell(
+            self.deliver(
                 name,
                 models.EndpointReported(endpoint="engine-1", report=report),
             )
@@ -197,17 +197,17 @@
         """Time goes on."""
         self.now += seconds
         for name in self.schedulers:
-            self.tell(name, models.TimePassed())
+            self.deliver(name, models.TimePassed())
 
 
-OwnersMachine.TestCase.settings = PROFILE
+EndpointOwnersMachine.TestCase.settings = PROFILE
 
 
-class BudgetMachineTest(OwnersMachine.TestCase):
+class BudgetMachineTest(EndpointOwnersMachine.TestCase):
     """Runs the machine."""
 
 
-class EvidenceTest(testtools.TestCase):
+class WarmEvidenceTest(testtools.TestCase):
     """Which reports count as evidence of warmth."""
 
     def setUp(self):
@@ -249,7 +249,7 @@
         self.assertTrue(budget.may_start(self.state, request, 3.0))
 
 
-class WholeAnswerTest(testtools.TestCase):
+class NonStreamedAnswerTest(testtools.TestCase):
     """An answer in one piece tells of its speed only at its end."""
 
     def setUp(self):
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -236,7 +236,7 @@
         self.assertEqual(0, figures["lost"])
         return figures
 
-    def get_part(self, figures, tier):
+    def get_goodput_fraction(self, figures, tier):
         """Return goodput over what was offered."""
         good = figures["goodput_by_tier"][tier]
         return good / figures["offered_by_tier"][tier]
@@ -244,7 +244,7 @@
     def test_top_tier_through_saturation(self):
         """At twice the capacity, status reads are answered in time."""
         figures = self.run_load(loads.CAPACITY * 2)
-        self.assertGreaterEqual(self.get_part(figures, 0), 0.99)
+        self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
     def test_top_tier_through_a_data_centre_change(self):
         """A data centre leaves and comes back cold."""
@@ -253,7 +253,7 @@
             loads.Fault(time=10, kind="dc_in", target="dc-2"),
         )
         figures = self.run_load(loads.CAPACITY * 0.6, faults)
-        self.assertGreaterEqual(self.get_part(figures, 0), 0.99)
+        self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
     def test_cold_again_without_warning(self):
         """Engines start over under load; none gets more than it bears."""
@@ -266,4 +266,4 @@
     def test_long_work_lets_short_work_through(self):
         """One in five is a long review; status reads don't wait for it."""
         figures = self.run_load(loads.CAPACITY * 0.6, mix=loads.LONG_SHARE)
-        self.assertGreaterEqual(self.get_part(figures, 0), 0.99)
+        self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
--- a/tests/scheduler/test_ownership.py
+++ b/tests/scheduler/test_ownership.py
@@ -10,7 +10,7 @@
 from citronport.scheduler import ownership
 
 NAMES = ("entry-1", "entry-2", "entry-3")
-BEARS = 3
+COLD_CONCURRENCY = 3
 
 
 def make_members(names):
@@ -143,10 +143,10 @@
         self.now = 0.0
         self.version = 1
         self.listed = set(NAMES)
-        self.reading = set(NAMES)
-        self.cut = set()
+        self.platform_reachable = set(NAMES)
+        self.broken_links = set()
         self.stopped = set()
-        self.at_endpoint = dict.fromkeys(NAMES, 0)
+        self.in_progress = dict.fromkeys(NAMES, 0)
         self.versions = dict.fromkeys(NAMES, 0)
         self.views = {name: self.start(name) for name in NAMES}
 
@@ -157,7 +157,7 @@
         self.versions[name] = 0
         return view
 
-    def see_list(self, name, version, names):
+    def receive_list(self, name, version, names):
         """Give one instance a list, if it is newer."""
         if version > self.versions[name]:
             self.versions[name] = version
@@ -166,28 +166,31 @@
             )
             self.lists = {**getattr(self, "lists", {}), version: names}
 
-    def exchange(self):
+    def exchange_messages(self):
         """Let everybody who can ask the platform and each other."""
         awake = [name for name in NAMES if name not in self.stopped]
         for name in awake:
-            if name in self.reading:
-                self.see_list(name, self.version, set(self.listed))
+            if name in self.platform_reachable:
+                self.receive_list(name, self.version, set(self.listed))
                 self.views[name].record_platform_confirmation(self.now)
         for _ in NAMES:
             for asking in awake:
                 for answering in awake:
-                    self.ask(asking, answering)
-        if not any(self.at_endpoint.values()):
+                    self.contact(asking, answering)
+        if not any(self.in_progress.values()):
             for name in awake:
                 self.views[name].record_idle("engine", self.now)
 
-    def ask(self, asking, answering):
+    def contact(self, asking, answering):
         """Let one instance hear of another."""
-        if asking == answering or frozenset({asking, answering}) in self.cut:
+        if (
+            asking == answering
+            or frozenset({asking, answering}) in self.broken_links
+        ):
             return
         version = self.versions[answering]
         if version > self.versions[asking]:
-            self.see_list(asking, version, self.lists[version])
+            self.receive_list(asking, version, self.lists[version])
         self.views[asking].record_contact(answering, self.now, version)
 
     @stateful.rule(seconds=strategies.sampled_from([1.0, 4.0, 7.0]))
@@ -196,17 +199,17 @@
         end = self.now + seconds
         while self.now < end:
             self.now += 0.5
-            self.exchange()
+            self.exchange_messages()
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def toggle_platform(self, name):
         """Cut an instance off from the platform, or heal it."""
-        self.reading ^= {name}
+        self.platform_reachable ^= {name}
 
     @stateful.rule(pair=strategies.sampled_from([(0, 1), (0, 2), (1, 2)]))
     def toggle_link(self, pair):
         """Cut the link of two instances, or heal it."""
-        self.cut ^= {frozenset(NAMES[i] for i in pair)}
+        self.broken_links ^= {frozenset(NAMES[i] for i in pair)}
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def toggle_stop(self, name):
@@ -217,7 +220,7 @@
     def replace(self, name):
         """Kill a process and start another under its name."""
         self.stopped.discard(name)
-        self.at_endpoint[name] = 0
+        self.in_progress[name] = 0
         self.views[name] = self.start(name)
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
@@ -231,23 +234,27 @@
     def send(self):
         """Let all that run send as much as they believe they may."""
         for name, view in self.views.items():
-            share = budget.get_share(BEARS, view.get_cold_share(self.now))
+            share = budget.get_share(
+                COLD_CONCURRENCY, view.get_cold_share(self.now)
+            )
             while (
                 name not in self.stopped
                 and view.may_send_cold("engine", self.now)
-                and self.at_endpoint[name] < share
+                and self.in_progress[name] < share
             ):
-                self.at_endpoint[name] += 1
+                self.in_progress[name] += 1
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def finish(self, name):
         """End the requests of an instance."""
-        self.at_endpoint[name] = 0
+        self.in_progress[name] = 0
 
     @stateful.invariant()
-    def bears_it(self):
+    def stays_within_cold_concurrency(self):
         """The endpoint never holds more than it bears."""
-        assert sum(self.at_endpoint.values()) <= BEARS, self.at_endpoint
+        assert sum(self.in_progress.values()) <= COLD_CONCURRENCY, (
+            self.in_progress
+        )
 
 
 ColdBudgetMachine.TestCase.settings = hypothesis.settings(
