--- a/citronport/scheduler/__init__.py
+++ b/citronport/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load; no socket, no gevent, time is handed in."""
+"""Scheduling decisions; no I/O and no gevent, callers pass the time in."""
--- a/citronport/scheduler/models.py
+++ b/citronport/scheduler/models.py
@@ -1,9 +1,9 @@
-"""Data classes of the decision package: events in, actions out.
+"""Data classes of the scheduler: input events and resulting actions.
 
-The package is driven by handing events with the time to
-``core.Scheduler.handle`` and carrying out the actions it returns. Nothing
-here holds a socket, a clock or a task. Times are clock seconds, lengths are
-tokens, rates are tokens a second unless a name says otherwise.
+The driver passes each event and the current time to
+``core.Scheduler.handle`` and carries out the actions it returns. Nothing
+here holds a socket, a clock or a task. Unless stated otherwise, times are
+clock seconds, lengths are tokens and rates are tokens per second.
 """
 
 import dataclasses
@@ -13,14 +13,14 @@
 
 
 class Kind(enum.StrEnum):
-    """What an endpoint is."""
+    """Type of an endpoint."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Service(enum.StrEnum):
-    """Whether operators have a thing in service."""
+    """Service state set by operators."""
 
     IN = "in"
     LEAVING = "leaving"
@@ -28,11 +28,11 @@
 
 
 class ColdShare(enum.StrEnum):
-    """Part of what a cold start bears that the owner may use.
+    """Share of an endpoint's cold-start capacity that its owner may use.
 
-    The halves belong to two authorities that two instances could hold at
-    the same time; see ``ownership``. Of an odd number the upper half is
-    the larger one.
+    Each half belongs to one of two authorities, which different instances
+    can hold at the same time; see ``ownership``. The upper half of an odd
+    number is the larger one.
     """
 
     ALL = "all"
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """Limits of one catalogue entry; None is no limit.
+    """Limits of one catalogue entry; None means unlimited.
 
     Attributes:
-        requests_per_second: sustained rate over the whole fleet.
-        concurrency: requests in progress over the whole fleet.
-        tokens_per_second: prompt and answer tokens over the whole fleet.
+        requests_per_second: sustained rate across the fleet.
+        concurrency: requests in progress across the fleet.
+        tokens_per_second: prompt and answer tokens across the fleet.
     """
 
     requests_per_second: float | None = None
@@ -58,14 +58,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Entry:
-    """One catalogue entry: an owner, a class and that owner's limits.
+    """One catalogue entry: a workspace, its tier and its limits.
 
     Attributes:
         name: unique name of the entry.
-        workspace: the owner that pays.
-        tier: the class, 0 is served first.
+        workspace: workspace that is charged.
+        tier: priority; 0 is served first.
         weight: share among workspaces of the same tier.
-        limits: the owner's limits.
+        limits: limits of the entry.
     """
 
     name: str
@@ -83,13 +83,14 @@
         name: unique name.
         kind: engine or plain service.
         models: model names (engine) or service paths (service).
-        data_centre: where it stands.
+        data_centre: name of its data centre.
         address: "ip:port".
-        concurrency: requests a warm endpoint runs well at once.
-        cold_concurrency: requests that a cold start bears at once.
-        cold_prompt_tokens: prompt tokens in progress a cold start bears.
-        prefill_rate: nominal prompt tokens a second.
-        decode_rate: nominal answer tokens a second of one request.
+        concurrency: concurrent requests that it handles well when warm.
+        cold_concurrency: concurrent requests allowed in a cold start.
+        cold_prompt_tokens: prompt tokens in progress allowed in a cold
+            start.
+        prefill_rate: nominal prompt tokens per second.
+        decode_rate: nominal answer tokens per second of one request.
         cache_tokens: prefix cache size.
         state: in service, leaving or out.
     """
@@ -110,15 +111,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Instance:
-    """An entry instance as the platform lists it.
+    """An instance as the platform lists it.
 
     Attributes:
         name: unique name.
-        data_centre: where it stands.
-        address: IP number.
-        caller_port: where callers connect.
-        peer_port: where other instances connect.
-        operator_port: where operators connect; 0 if not listed.
+        data_centre: name of its data centre.
+        address: IP address.
+        caller_port: port for callers.
+        peer_port: port for other instances.
+        operator_port: port for operators; 0 if not listed.
         state: in service, leaving or out.
     """
 
@@ -133,13 +134,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """What the platform publishes, as one value with its version.
+    """Versioned snapshot of what the platform publishes.
 
     Attributes:
-        version: catalogue version; a scheduler never goes back.
-        data_centres: state by name.
-        endpoints: by name.
-        entries: by name.
+        version: catalogue version; a scheduler ignores older ones.
+        data_centres: service state by name.
+        endpoints: endpoints by name.
+        entries: catalogue entries by name.
     """
 
     version: int
@@ -150,22 +151,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """A request as the decisions see it; never its content.
+    """Scheduling attributes of a request; excludes its content.
 
     Attributes:
         request_id: unique in the fleet.
-        entry: name of the catalogue entry it came in under.
-        workspace: the owner that pays.
-        tier: 0 is served first.
+        entry: name of the catalogue entry it was sent under.
+        workspace: workspace that is charged.
+        tier: priority; 0 is served first.
         model: model name, or service path for a plain service.
         kind: kind of endpoint it needs.
         prompt_tokens: estimate from the length of the body.
-        max_tokens: most answer tokens the caller lets it take.
+        max_tokens: upper bound of the answer length set by the caller.
         prefix: hashes of the prompt's leading blocks, longest last.
-        deadline: clock time after which the answer is worthless.
+        deadline: clock time after which the answer is of no use.
         idempotent: False if it may run at most once.
-        streamed: False if the answer comes in one piece, so that its
-            first token tells nothing of the speed.
+        streamed: False if the answer arrives in one piece; its first
+            token then gives no measure of speed.
     """
 
     request_id: str
@@ -184,14 +185,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """What an endpoint says of itself; it comes late.
+    """Load that an endpoint reports of itself, with a delay.
 
     Attributes:
         running: requests in the batch.
-        queued: requests that wait in the endpoint.
-        cold: whether it says that it is in cold start.
-        age: how old the report was when it came, seconds.
-        received: requests it has received since its start.
+        queued: requests waiting inside the endpoint.
+        cold: whether it reports a cold start.
+        age: age of the report on arrival, seconds.
+        received: requests received since its start.
     """
 
     running: int
@@ -203,22 +204,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceSummary:
-    """What an instance tells the others of its own pressure.
+    """Load summary that an instance sends to the others.
 
     Attributes:
-        instance: its name.
+        instance: name of the instance.
         version: catalogue version in force there.
-        queued_tokens: work waiting, by tier.
+        queued_tokens: tokens of queued requests, by tier.
         running: requests in progress, by tier.
         free: requests it could start now, by model.
-        drain_rate: tokens a second that it finishes.
-        floor: lowest tier that may still be started anywhere; TIERS - 1
-            when there is no pressure.
+        drain_rate: tokens completed per second.
+        floor: lowest tier that any instance may still start; TIERS - 1
+            if there is no pressure.
         usage: requests in progress by catalogue entry.
-        leaving: whether it takes no new work.
+        leaving: whether it accepts no new work.
         waits: seconds until a new request would start, by model and tier.
-        rates: requests a second admitted, by limited catalogue entry.
-        token_rates: tokens a second admitted, by limited entry.
+        rates: requests per second admitted, by limited catalogue entry.
+        token_rates: tokens per second admitted, by limited entry.
     """
 
     instance: str
@@ -242,13 +243,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestArrived:
-    """A request came from a caller, or from another instance.
+    """A request arrived from a caller or from another instance.
 
     Attributes:
         request: the request.
-        forwarded: True if another instance sent it; it is then decided
-            here and never forwarded again.
-        refused_by: instances that said "not run" to it already.
+        forwarded: True if another instance sent it; it is then started or
+            refused here and never forwarded again.
+        refused_by: instances that have answered "not run" to it.
     """
 
     request: Request
@@ -258,33 +259,33 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestLeft:
-    """The caller of a request is gone."""
+    """The caller of a request disconnected."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FirstToken:
-    """The first token of an answer came."""
+    """The first token of an answer arrived."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AnswerCut:
-    """The connection broke before the answer's end; it may still go on."""
+    """The connection broke mid-answer; the endpoint may still work on it."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AnswerFinished:
-    """An answer is whole.
+    """An answer is complete.
 
     Attributes:
         request_id: the request.
         output_tokens: length of the answer.
-        cached_tokens: prompt tokens that the endpoint found in its cache.
+        cached_tokens: prompt tokens found in the endpoint's cache.
     """
 
     request_id: str
@@ -294,12 +295,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DispatchFailed:
-    """A dispatch ended without a whole answer.
+    """A dispatch ended without a complete answer.
 
     Attributes:
         request_id: the request.
-        sent: False only if not one byte of it left this process.
-        code: what to tell the caller if it is not tried again.
+        sent: False only if no byte of it left this process.
+        code: error code for the caller if it is not retried.
     """
 
     request_id: str
@@ -309,10 +310,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EndpointConnected:
-    """The connection to an endpoint came up: a start, cold until shown.
+    """The connection to an endpoint was established.
+
+    It counts as a new start of the endpoint, which is taken as cold until
+    there is evidence of warmth.
 
     Attributes:
-        endpoint: its name.
+        endpoint: name of the endpoint.
         start: number of the start, unique in this process.
     """
 
@@ -329,7 +333,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EndpointReported:
-    """A load report came."""
+    """A load report of an endpoint arrived."""
 
     endpoint: str
     report: LoadReport
@@ -337,7 +341,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CacheReported:
-    """Prefix blocks entered or left an endpoint's cache; late, with gaps."""
+    """Prefix blocks entered or left an endpoint's cache.
+
+    Arrives with a delay; some of these events may be missing.
+    """
 
     endpoint: str
     stored: tuple[int, ...] = ()
@@ -347,22 +354,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FleetChanged:
-    """A newer catalogue is in force."""
+    """A newer catalogue version is in force."""
 
     fleet: Fleet
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OwnershipChanged:
-    """The endpoints that this instance may send to changed.
+    """The set of endpoints that this instance may send to changed.
 
     Attributes:
-        owned: endpoints this instance alone sends to.
-        suspended: owned ones whose lease is in doubt; nothing may be
-            started on one of these while it is cold.
+        owned: endpoints that only this instance sends to.
+        suspended: owned endpoints whose lease is uncertain; no request
+            may start on one of these while it is cold.
         owners: instance by endpoint, for all endpoints.
-        cold_share: part of what each cold owned endpoint bears that may
-            be used, requests and prompt tokens alike.
+        cold_share: usable share of the cold-start capacity of each owned
+            endpoint, for requests and prompt tokens alike.
     """
 
     owned: frozenset[str]
@@ -373,31 +380,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceReported:
-    """Another instance told of its pressure."""
+    """A summary of another instance arrived."""
 
     summary: InstanceSummary
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceGone:
-    """Another instance is out of reach."""
+    """Another instance is unreachable."""
 
     instance: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeaveOrdered:
-    """This instance starts a graceful shutdown: no new work."""
+    """This instance starts a graceful shutdown and accepts no new work."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TimePassed:
-    """Nothing came; deadlines and rates are looked at."""
+    """Periodic tick; deadlines and pressure are checked."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReturnOrdered:
-    """This instance is back in service and takes new work again."""
+    """This instance is back in service and accepts new work again."""
 
 
 Event = (
@@ -434,7 +441,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Forward:
-    """Hand a request to the instance that owns a fitting endpoint."""
+    """Forward a request to the instance that owns a suitable endpoint."""
 
     request_id: str
     instance: str
@@ -442,7 +449,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refuse:
-    """Give a request its final answer at once."""
+    """Send a request its final refusal immediately."""
 
     request_id: str
     refusal: errors.Refusal
@@ -450,7 +457,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Cancel:
-    """Stop a request that runs; its caller is gone or its time is over."""
+    """Stop a running request whose caller left or whose deadline passed."""
 
     request_id: str
     endpoint: str
