--- a/citronport/scheduler/admission.py
+++ b/citronport/scheduler/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may wait in this instance."""
+"""Admission of requests to the queue of this instance."""
 
 from citronport import errors
 from citronport.scheduler import const
@@ -10,10 +10,10 @@
 
 
 class Admission:
-    """Lets requests wait by the work ahead and a bounded queue.
+    """Admits requests that can finish before their deadline.
 
     Attributes:
-        entries: the catalogue's entries, by name.
+        entries: catalogue entries, by name.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self.entries: dict[str, models.Entry] = {}
 
     def requeue(self, waiting: queue.QueuedRequest) -> None:
-        """Let a request wait that was taken out of the queue."""
+        """Return a request to the queue that was taken out of it."""
         weight = self._get_weight(waiting.request)
         self._owner.queue.push(waiting, weight)
 
@@ -39,12 +39,13 @@
         now: float,
         failed_dispatches: int,
     ) -> list[models.Action]:
-        """Let a request wait here, or refuse it.
+        """Queue a request, or refuse it.
 
-        Load: sustained overload. Harm: a queue longer than the deadline
-        only makes answers that nobody waits for. Limit: the work ahead,
-        at the measured speed, must end before the deadline; but as long
-        as a lower tier is served anywhere, that one stops first.
+        Under sustained overload, a queue longer than the deadline only
+        produces answers that are too late. A request is therefore refused
+        if the work ahead of it, at the measured speed, does not finish in
+        time. While this or a reachable instance runs a lower tier, it is
+        queued all the same, since that tier is stopped first.
         """
         owner = self._owner
         group = queue.get_group(request)
--- a/citronport/scheduler/budget.py
+++ b/citronport/scheduler/budget.py
@@ -1,9 +1,9 @@
-"""How much of an endpoint its owner may use.
+"""Concurrency budget of an endpoint and the state it is derived from.
 
-Only the owner sends to an endpoint, so that the sum over all instances is
-the owner's own count. What the owner cannot count are requests that an
-earlier owner, or a broken connection, left behind: until a report younger
-than the takeover counts them, nothing is sent.
+Only the owner sends to an endpoint, so its own count of requests in progress
+covers all instances. It does not cover foreign requests: those that an
+earlier owner or a broken connection left at the endpoint. After a takeover
+nothing is sent until a load report made since then has counted them.
 """
 
 import dataclasses
@@ -20,11 +20,12 @@
 
     Attributes:
         request: the request.
-        sent_at: when it was sent, clock seconds.
-        prefill_seconds: expected seconds of prefill.
+        sent_at: send time, clock seconds.
+        prefill_seconds: expected duration of prefill.
         expected_at: expected time of its first token, clock seconds.
-        first_token_at: when that came.
-        measures_speed: whether it found room, so its time shows the speed.
+        first_token_at: time of its first token; None before it arrives.
+        measures_speed: whether its first-token delay is a sample of the
+            endpoint's speed: streamed, and sent while there was room.
     """
 
     request: models.Request
@@ -37,27 +38,29 @@
 
 @dataclasses.dataclass(kw_only=True)
 class EndpointState:
-    """What an owner knows of an endpoint.
+    """State of an endpoint as its owner knows it.
 
     Attributes:
-        spec: the catalogue's description.
+        spec: endpoint as the catalogue describes it.
         connected: whether there is a connection.
-        suspended: whether the right to send is in doubt.
-        cold_share: part of what a cold start bears that may be used.
-        warm: whether it was shown warm since its start.
-        evidence_since: evidence must be younger than this, clock seconds.
-        warm_at: when it last was warm for certain: when a report was made
-            that says so, or when a request left whose answer has begun.
-        answered_at: when it last answered a request, clock seconds.
-        foreign_count: requests that others left there; None if not known.
-        counted_at: only younger reports count foreign requests.
-        running: own requests in progress.
-        running_by_tier: how many of these there are, by tier.
-        limit: requests it may have at once now.
-        slowdown: times slower than the catalogue says.
-        decode_rate: measured answer tokens a second of one request.
-        prefill_free_at: when the prefill that was sent ends.
-        mean_service_seconds: mean seconds that a request stays.
+        suspended: whether the right to send is uncertain.
+        cold_share: usable share of the cold-start capacity.
+        warm: whether there was evidence of warmth since its start.
+        evidence_since: evidence must be newer than this, clock seconds.
+        warm_at: last time at which it was certainly warm: when a report
+            saying so was made, or when a request was sent whose answer
+            has begun.
+        answered_at: time of the last first token, clock seconds.
+        foreign_count: requests left there by others; None if unknown.
+        counted_at: only reports newer than this count foreign requests.
+        running: own requests in progress, by id.
+        running_by_tier: number of own requests in progress, by tier.
+        limit: current limit of concurrent requests.
+        slowdown: measured factor by which it is slower than its catalogue
+            entry states.
+        decode_rate: measured answer tokens per second of one request.
+        prefill_free_at: expected end of all prefill sent so far.
+        mean_service_seconds: moving average of request durations.
     """
 
     spec: models.Endpoint
@@ -82,7 +85,7 @@
 
 
 def make_state(spec: models.Endpoint, now: float) -> EndpointState:
-    """Return the state of an endpoint that was just taken over."""
+    """Return the initial state of an endpoint after a takeover."""
     state = EndpointState(spec=spec, decode_rate=spec.decode_rate * 0.7)
     take_over(state, now)
     return state
@@ -94,11 +97,11 @@
 
 
 def has_warm_evidence(state: EndpointState, now: float) -> bool:
-    """Return whether young evidence says that an endpoint is warm.
+    """Return whether recent evidence shows that an endpoint is warm.
 
-    An instance that was stopped wakes with an old view: the endpoint may
-    have turned cold, and have another owner, meanwhile. What it saw before
-    counts for no longer than its lease.
+    A process that was paused resumes with outdated state: the endpoint may
+    since have restarted or been given another owner. Evidence therefore
+    expires after the length of a lease.
     """
     if not has_cold_start(state.spec):
         return True
@@ -106,26 +109,26 @@
 
 
 def take_over(state: EndpointState, now: float) -> None:
-    """Start counting: another instance may have work in progress there."""
+    """Reset the state: another instance may have requests in progress."""
     _mark_cold(state, now)
     state.foreign_count = None if has_cold_start(state.spec) else 0
     state.counted_at = now
 
 
 def record_connection(state: EndpointState, now: float) -> None:
-    """Take a new connection for a new start."""
+    """Treat a new connection as a new, cold start of the endpoint."""
     state.connected = True
     _mark_cold(state, now)
     state.counted_at = now
 
 
 def record_disconnection(state: EndpointState) -> None:
-    """The connection broke: nothing is sent until there is a new one."""
+    """Record a lost connection; nothing is sent until there is a new one."""
     state.connected = False
 
 
 def assume_cold(state: EndpointState, now: float) -> None:
-    """Fall back to the cold budget at once; evidence must be younger."""
+    """Fall back to the cold budget until there is newer evidence."""
     _mark_cold(state, now)
 
 
@@ -150,10 +153,10 @@
 def apply_report(
     state: EndpointState, report: models.LoadReport, now: float
 ) -> None:
-    """Learn from a load report; what is older than the start is ignored.
+    """Update the state from a load report made since the last start.
 
-    A report says what was so when it was made, not when it came: one that
-    was made before a restart says "warm" of a start that is cold.
+    A report describes the time at which it was made, not its arrival. One
+    made before a restart may say "warm" of an endpoint that is cold now.
     """
     made_at = now - report.age
     if not state.connected or made_at <= state.evidence_since:
@@ -166,9 +169,9 @@
         _raise_limit_by_report(state, made_at)
     if made_at <= state.counted_at:
         return
-    # A request whose first token came before the report was made was
-    # inside then; all others may be foreign. The count only ever falls,
-    # since nobody else sends.
+    # A request whose first token arrived before the report was made is
+    # part of the reported load; everything else may be foreign. The
+    # foreign count never grows here, since no other instance sends.
     inside = sum(
         1
         for sent in state.running.values()
@@ -183,9 +186,9 @@
 
 
 def _raise_limit_by_report(state: EndpointState, made_at: float) -> None:
-    # Load: answers that come in one piece, after long. Harm: a slow start
-    # that waits for them keeps an endpoint nearly idle meanwhile. A report
-    # that was made while one of them ran says that it was borne.
+    # Answers that are not streamed give no first token for a long time. A
+    # slow start that waits for them keeps the endpoint nearly idle. A
+    # report made while a request runs shows that the endpoint handles it.
     if any(sent.sent_at < made_at for sent in state.running.values()):
         state.limit = min(state.spec.concurrency, 2 * state.limit)
 
@@ -193,7 +196,7 @@
 def may_start(
     state: EndpointState, request: models.Request, now: float
 ) -> bool:
-    """Return whether the endpoint may be given a request now."""
+    """Return whether a request may be sent to the endpoint now."""
     if not state.connected or state.foreign_count is None:
         return False
     if not state.warm:
@@ -211,10 +214,9 @@
 
 
 def _may_start_cold(state: EndpointState, request: models.Request) -> bool:
-    # An endpoint in cold start falls over when it gets more than it can
-    # bear: the sum of what is in progress there counts, requests and
-    # prompt tokens. The tokens of foreign requests are not known, so that
-    # any of them fills the budget.
+    # An endpoint in cold start crashes if the requests or the prompt
+    # tokens in progress exceed its cold-start capacity. The prompt tokens
+    # of foreign requests are unknown, so a single one uses up the budget.
     spec = state.spec
     if state.suspended or state.foreign_count:
         return False
@@ -227,9 +229,9 @@
 
 
 def get_share(whole: int, share: models.ColdShare) -> int:
-    """Return the part of a number that a share stands for.
+    """Return the amount that a share of ``whole`` stands for.
 
-    The two halves add up to the whole, whoever holds them.
+    The two halves add up to the whole, whichever instances hold them.
     """
     match share:
         case models.ColdShare.ALL:
@@ -243,18 +245,18 @@
 
 
 def count_lower_tiers(state: EndpointState, tier: int) -> int:
-    """Return the requests in progress there of tiers below one."""
+    """Return the number of running requests of tiers below ``tier``."""
     return sum(state.running_by_tier[tier + 1 :])
 
 
 def may_overcommit(state: EndpointState, request: models.Request) -> bool:
-    """Return whether a request may take the room of lower ones.
+    """Return whether a request may exceed the limit at a lower tier's cost.
 
-    Load: a burst of a higher tier finds endpoints full of a lower one.
-    Harm: it is shed while the lower one is served. As many lower requests
-    as it displaces run there, and the endpoint only queues it for a
-    moment; half the concurrency bounds what one that answers no more can
-    swallow.
+    Otherwise a burst of a higher tier that finds the endpoints full of a
+    lower one is shed while the lower one is served. The excess is at most
+    the number of lower requests running there, so the endpoint queues it
+    only briefly. It is also at most half the concurrency, which bounds the
+    requests lost to an endpoint that has stopped answering.
     """
     if not state.connected or not state.warm or state.foreign_count is None:
         return False
@@ -267,7 +269,7 @@
 def record_send(
     state: EndpointState, request: models.Request, prefill: float, now: float
 ) -> None:
-    """Count a request that is sent now."""
+    """Record a request that is sent now."""
     _apply_slow_start(state, now)
     begin_at = max(now, state.prefill_free_at)
     load = len(state.running) + (state.foreign_count or 0)
@@ -283,20 +285,20 @@
 
 
 def _estimate_decode(state: EndpointState, request: models.Request) -> float:
-    # An answer in one piece comes when its last token does. Taken for a
-    # first token that is late, it would count as a sign of a cold start,
-    # and the endpoint would be fed as one.
+    # An answer that is not streamed arrives with its last token. Measured
+    # against the expected first token it would look overdue, which counts
+    # as a sign of a cold start and reduces the endpoint's budget.
     if request.streamed:
         return 0.0
     return request.max_tokens / max(1.0, state.decode_rate)
 
 
 def _apply_slow_start(state: EndpointState, now: float) -> None:
-    # Load: a burst that meets an endpoint which has been idle. Harm: one
-    # that turned cold without a word would get all of it before its next
-    # report, which comes late, and fall over. It starts with as many as a
-    # cold start bears, and each first token allows one more: the first
-    # that breaks ends it. While an endpoint is busy this costs nothing.
+    # An idle endpoint may have restarted cold without notice. Its next
+    # report is delayed, so a burst would reach it in full and crash it.
+    # It is therefore limited to its cold-start concurrency at first; each
+    # first token raises the limit by one, and the first broken answer
+    # stops the increase. A busy endpoint is not affected.
     silent = now - state.answered_at > const.FIRST_TOKEN_EVIDENCE_SECONDS
     if silent and not state.running and has_cold_start(state.spec):
         state.limit = min(state.limit, state.spec.cold_concurrency)
@@ -312,7 +314,7 @@
 def record_first_token(
     state: EndpointState, request_id: str, now: float
 ) -> None:
-    """Learn the speed, and that the endpoint bears its load."""
+    """Record a first token; update the speed and raise the limit."""
     sent = state.running.get(request_id)
     if sent is None or sent.first_token_at is not None:
         return
@@ -321,7 +323,7 @@
     state.warm_at = max(state.warm_at, sent.sent_at)
     if sent.measures_speed:
         _update_slowdown(state, sent, now)
-    # Prefill is serial: what was sent before is over now, too.
+    # Prefill is serial, so that of earlier requests is done as well.
     later = sum(
         s.prefill_seconds
         for s in state.running.values()
@@ -341,7 +343,7 @@
     sample = state.slowdown * min(
         4.0, max(0.25, actual_seconds / expected_seconds)
     )
-    # A short wait says little: a hop and a turn of the loop weigh as much.
+    # Delays this short are mostly network hop and event loop latency.
     if actual_seconds < 0.05 and expected_seconds < 0.05:
         sample = 1.0
     weight = const.MOVING_AVERAGE_WEIGHT
@@ -352,7 +354,7 @@
 def record_end(
     state: EndpointState, request_id: str, now: float, output_tokens: int
 ) -> SentRequest | None:
-    """Count a request out whose answer is whole, or that left."""
+    """Remove a request whose answer is complete or whose caller left."""
     sent = _remove(state, request_id)
     if sent is None:
         return None
@@ -370,12 +372,12 @@
 def record_failure(
     state: EndpointState, request_id: str, now: float, *, sent: bool
 ) -> SentRequest | None:
-    """Count a request out whose dispatch failed.
+    """Remove a request whose dispatch failed.
 
-    One that was sent may still be in progress there, and a broken answer
-    is the first that is seen of an endpoint that started over: the budget
-    is the cold one from here on, and the request stays in it until a
-    younger report shows that it is gone.
+    A request that was sent may still be in progress, and a broken answer
+    is the first visible sign of a restart. The endpoint falls back to the
+    cold budget, and the request counts as foreign until a newer report
+    shows that it has ended.
     """
     failed = _remove(state, request_id)
     if failed is None or not sent or not has_cold_start(state.spec):
@@ -388,7 +390,7 @@
 
 
 def record_cancel(state: EndpointState, request_id: str, now: float) -> None:
-    """Count a cancelled request as foreign until it is surely gone."""
+    """Count a cancelled request as foreign until it has certainly ended."""
     if _remove(state, request_id) is None:
         return
     if has_cold_start(state.spec) and not state.warm:
@@ -398,7 +400,7 @@
 
 
 def has_overdue_first_token(state: EndpointState, now: float) -> bool:
-    """Return whether a first token is far later than expected."""
+    """Return whether any first token is long overdue."""
     return any(
         sent.first_token_at is None
         and now
@@ -413,7 +415,7 @@
 
 
 def get_wait(state: EndpointState, now: float) -> float:
-    """Return the seconds until a new request's prefill would begin."""
+    """Return the seconds until prefill of a new request would begin."""
     backlog = max(0.0, state.prefill_free_at - now)
     load = len(state.running) + (state.foreign_count or 0)
     if load < state.limit:
--- a/citronport/scheduler/core.py
+++ b/citronport/scheduler/core.py
@@ -1,19 +1,18 @@
-"""The scheduler of one entry instance: events in, actions out.
-
-``Scheduler.handle(event, now)`` takes one event of ``models.Event`` with
-the clock time in seconds and returns the actions of ``models.Action`` to
-carry out, in order. ``now`` never goes back. The caller owes:
-
-- ``TimePassed`` at least each 50 ms; deadlines are looked at then;
-- ``FirstToken`` and one of ``AnswerFinished`` and ``DispatchFailed`` for
-  each ``Dispatch``, ``AnswerFinished`` also after a ``Cancel``;
-- ``AnswerFinished`` for each ``Forward`` that was answered, and
-  ``RequestArrived`` with ``refused_by`` for one that was refused with
-  "not run";
-- ``summarize()`` at a steady pace, to be handed to the other instances as
-  ``InstanceReported``.
-
-A request that is given up gets its ``Refuse`` in the same step.
+"""Scheduler of one instance, driven by events.
+
+``Scheduler.handle(event, now)`` takes one ``models.Event`` and the clock
+time in seconds, and returns the ``models.Action`` values to carry out, in
+order. ``now`` must not decrease. The driver has to deliver:
+
+- ``TimePassed`` at least every 50 ms, for the deadline checks;
+- ``FirstToken`` and either ``AnswerFinished`` or ``DispatchFailed`` for
+  each ``Dispatch``, and ``AnswerFinished`` after a ``Cancel`` as well;
+- ``AnswerFinished`` for each ``Forward`` that was answered, or
+  ``RequestArrived`` with ``refused_by`` if it was refused with "not run";
+- the result of ``summarize()``, at regular intervals, to the other
+  instances as ``InstanceReported``.
+
+A request that is abandoned gets its ``Refuse`` in the same step.
 """
 
 import dataclasses
@@ -42,7 +41,7 @@
 
 
 class Scheduler:
-    """Decides for the endpoints that one instance owns.
+    """Schedules requests on the endpoints that one instance owns.
 
     Args:
         instance: name of this instance.
@@ -69,11 +68,11 @@
         self._now = 0.0
 
     def handle(self, event: models.Event, now: float) -> list[models.Action]:
-        """Take one event and return what to do about it.
+        """Process one event and return the resulting actions.
 
         Args:
-            event: what happened.
-            now: clock time, seconds; never less than in an earlier call.
+            event: the event.
+            now: clock time, seconds; not less than in an earlier call.
 
         Returns:
             Actions in the order in which to carry them out.
@@ -81,7 +80,7 @@
         self._now = now
         actions = self._apply_event(event, now)
         if isinstance(event, models.InstanceReported):
-            # Most events by far, and none of them frees a place.
+            # By far the most frequent event; it never frees capacity.
             return actions
         return [
             *actions,
@@ -140,7 +139,7 @@
         return []
 
     def summarize(self) -> models.InstanceSummary:
-        """Return what the other instances are told."""
+        """Return the summary to send to the other instances."""
         return summary.make_summary(
             summary.SummarySource(
                 instance=self.instance,
@@ -155,7 +154,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Return whether nothing waits or runs here."""
+        """Return whether no request is queued, running or forwarded."""
         return not (
             len(self._owner.queue)
             or sum(self._owner.get_running())
@@ -163,14 +162,14 @@
         )
 
     def is_warm(self, endpoint: str) -> bool:
-        """Return whether an owned endpoint was shown warm since its start."""
+        """Return whether an owned endpoint proved warm since its start."""
         return self._owner.is_warm(endpoint)
 
     def has_warm_evidence(self, endpoint: str, now: float) -> bool:
-        """Return whether young evidence says that an endpoint is warm.
+        """Return whether recent evidence shows that an endpoint is warm.
 
-        Asked between the last wait and the send, where a lease is needed
-        for any endpoint of which that is not so.
+        Checked after the last point at which the sender can block: a send
+        to an endpoint without such evidence needs a lease.
         """
         return self._owner.has_warm_evidence(endpoint, now)
 
@@ -181,7 +180,7 @@
             return []
         previous = self.fleet
         self.fleet = fleet
-        # Most changes are of one owner's limits: the rings stay.
+        # Most changes only affect limits of an entry and keep the rings.
         if previous is None or (previous.endpoints, previous.data_centres) != (
             fleet.endpoints,
             fleet.data_centres,
@@ -198,7 +197,7 @@
         return self._reroute(now)
 
     def _reroute(self, now: float) -> list[models.Action]:
-        """Decide again for what waits for endpoints that are gone."""
+        """Place queued requests again if their endpoints are gone."""
         actions: list[models.Action] = []
         for waiting in self._owner.queue.iterate_all():
             request = waiting.request
@@ -355,7 +354,7 @@
         request = waiting.request
         self._owner.queue.pop(request.request_id)
         if waiting.forwarded:
-            # "Not run": the instance that it came from decides again.
+            # Refused as "not run", so the forwarding instance retries.
             return self._shedder.shed(request, errors.Code.OVERLOADED, now)
         return self._place(request, False, (self.instance,), now)
 
--- a/citronport/scheduler/estimate.py
+++ b/citronport/scheduler/estimate.py
@@ -1,4 +1,4 @@
-"""What a request is expected to cost; wrong guesses mend themselves."""
+"""Estimates of request cost, corrected by the answers seen."""
 
 import collections
 
@@ -7,16 +7,16 @@
 from citronport.scheduler import models
 
 BLOCK_TOKENS = 128
-"""Prompt tokens in one block of ``Request.prefix``, about."""
+"""Approximate prompt tokens in one block of ``Request.prefix``."""
 
 
 class LengthEstimates:
-    """Mean answer length and cached part, by catalogue entry.
+    """Moving averages of answer length and cached fraction, by entry.
 
-    Load: callers ask for the longest answer they could bear, most are a
-    tenth of it. Harm: work ahead counted by the request's limit refuses
-    what would have been in time. A mean of the answers seen is used, and
-    nothing that must hold depends on it.
+    Callers set ``max_tokens`` to the longest answer they accept; most
+    answers have a tenth of that length. Counting queued work by that limit
+    would refuse requests that finish in time. The averages are estimates
+    only; no guarantee depends on them.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self._cached: dict[str, float] = {}
 
     def record_output(self, entry: str, tokens: float) -> None:
-        """Take in the length of an answer."""
+        """Record the length of an answer."""
         mean = self._output.get(entry, tokens)
         self._output[entry] = mean + const.MOVING_AVERAGE_WEIGHT * (
             tokens - mean
@@ -37,29 +37,30 @@
             self._cached.pop(dropped, None)
 
     def record_cached(self, entry: str, fraction: float) -> None:
-        """Take in which part of a prompt was cached."""
+        """Record the cached fraction of a prompt."""
         mean = self._cached.get(entry, fraction)
         self._cached[entry] = mean + const.MOVING_AVERAGE_WEIGHT * (
             fraction - mean
         )
 
     def estimate_output(self, request: models.Request) -> float:
-        """Return the expected answer tokens."""
+        """Return the expected number of answer tokens."""
         mean = self._output.get(request.entry, const.DEFAULT_OUTPUT_TOKENS)
         return min(mean, float(request.max_tokens or mean))
 
     def estimate_uncached(self, request: models.Request) -> float:
-        """Return the prompt tokens that are expected to need prefill."""
+        """Return the expected number of prompt tokens to prefill."""
         return request.prompt_tokens * (
             1 - self._cached.get(request.entry, 0.0)
         )
 
 
 class PrefixCache:
-    """The prefix blocks that an endpoint likely holds.
+    """LRU model of the prefix blocks in an endpoint's cache.
 
-    The owner alone sends to the endpoint, so that its own sends tell the
-    cache's content; the endpoint's late cache events only correct it.
+    Only the owner sends to the endpoint, so the cache's content follows
+    from its own sends. Cache events of the endpoint arrive with a delay
+    and only correct the model.
     """
 
     def __init__(self, tokens: int) -> None:
@@ -69,7 +70,7 @@
         )
 
     def count_cached(self, request: models.Request) -> int:
-        """Return the prompt tokens likely held."""
+        """Return the number of prompt tokens that are probably cached."""
         count = 0
         for block in request.prefix:
             if block not in self._blocks:
@@ -78,7 +79,7 @@
         return min(max(0, request.prompt_tokens - 1), count * BLOCK_TOKENS)
 
     def store(self, blocks: tuple[int, ...]) -> None:
-        """Note blocks that were sent or reported."""
+        """Add blocks that were sent, or reported as stored."""
         for block in blocks:
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -86,12 +87,12 @@
             self._blocks.popitem(last=False)
 
     def evict(self, blocks: tuple[int, ...]) -> None:
-        """Forget blocks that the endpoint no longer holds."""
+        """Remove blocks that the endpoint reported as evicted."""
         for block in blocks:
             self._blocks.pop(block, None)
 
     def clear(self) -> None:
-        """Forget all: the endpoint started over."""
+        """Remove all blocks after a restart of the endpoint."""
         self._blocks.clear()
 
 
--- a/citronport/scheduler/limits.py
+++ b/citronport/scheduler/limits.py
@@ -1,4 +1,4 @@
-"""A catalogue entry's limits, held across the fleet."""
+"""Enforcement of catalogue entry limits across the fleet."""
 
 import dataclasses
 
@@ -7,19 +7,19 @@
 from citronport.scheduler import pressure
 
 WINDOW_SECONDS = 1.0
-"""Seconds of a limit's rate that may come at once."""
+"""Burst size of rate limits, in seconds of the limit's rate."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Usage:
-    """What this instance admitted under one entry.
+    """Usage of one entry at this instance.
 
     Attributes:
-        running: ids in progress.
-        requests: requests that may still come at once.
-        tokens: tokens that may still come at once.
-        rate: requests a second admitted, moving average.
-        token_rate: tokens a second admitted, moving average.
+        running: ids of requests in progress.
+        requests: level of the token bucket that counts requests.
+        tokens: level of the token bucket that counts tokens.
+        rate: requests per second admitted, decaying average.
+        token_rate: tokens per second admitted, decaying average.
         updated_at: time of the last update, clock seconds.
     """
 
@@ -32,15 +32,15 @@
 
 
 class Limiter:
-    """Own usage of limited entries beside what the others report.
-
-    Load: callers of one entry at several instances. Harm: each instance
-    alone would grant the whole limit, the fleet its multiple. An instance
-    grants what the others have left by their last summaries, at least its
-    equal share of a rate. A limit of n instances that all start at once
-    from nothing is overshot by at most n - 1 windows' worth, until the
-    next summaries; one at which callers follow the lookup's order is not
-    overshot at all, since one instance sees them all.
+    """Enforces entry limits by own usage and that of other instances.
+
+    Callers of one entry may use several instances. If each of these
+    granted the whole limit, the fleet would grant a multiple of it. An
+    instance therefore grants what the others leave according to their last
+    summaries, but at least its equal share of a rate. If n instances start
+    from no usage at the same time, they exceed the limit by at most n - 1
+    windows until the next summaries. If callers follow the order of the
+    lookup, one instance sees all of them and the limit is not exceeded.
     """
 
     def __init__(self) -> None:
@@ -53,12 +53,12 @@
         view: pressure.PeerView,
         now: float,
     ) -> tuple[errors.Code, float] | None:
-        """Count a request in, or return why not and when to come back.
+        """Count a request, or return the error code and the retry delay.
 
         Args:
-            request: the request; its tokens are what it may use at most.
+            request: the request; counted with its maximum of tokens.
             entry: the catalogue entry.
-            view: what the other instances tell.
+            view: merged summaries of the other instances.
             now: clock time, seconds.
         """
         limits = entry.limits
@@ -83,8 +83,8 @@
             return errors.Code.CONCURRENCY_LIMIT, 1.0
         if rate is not None and usage.requests < 1:
             return errors.Code.RATE_LIMIT, (1 - usage.requests) / rate
-        # A request larger than the window may go when the window is full
-        # and leaves a debt; else it could never go.
+        # A request larger than the window is admitted when the bucket is
+        # full and leaves it negative; otherwise it would never be admitted.
         if token_rate is not None and usage.tokens < min(
             tokens, token_rate * WINDOW_SECONDS
         ):
@@ -98,13 +98,13 @@
         return None
 
     def finish(self, request: models.Request) -> None:
-        """Count a request out."""
+        """Record that a request is no longer in progress."""
         usage = self._usage.get(request.entry)
         if usage is not None:
             usage.running.discard(request.request_id)
 
     def summarize(self, now: float) -> dict[str, tuple[int, float, float]]:
-        """Return requests in progress and both rates, by entry in use."""
+        """Return running requests and both rates of entries in use."""
         summary = {}
         for name, usage in list(self._usage.items()):
             _refill(usage, None, None, now)
--- a/citronport/scheduler/models.py
+++ b/citronport/scheduler/models.py
@@ -30,7 +30,7 @@
 class ColdShare(enum.StrEnum):
     """Share of an endpoint's cold-start capacity that its owner may use.
 
-    Each half belongs to one of two authorities, which different instances
+    Each half belongs to one of two authorities, which two instances
     can hold at the same time; see ``ownership``. The upper half of an odd
     number is the larger one.
     """
--- a/citronport/scheduler/owner.py
+++ b/citronport/scheduler/owner.py
@@ -1,4 +1,4 @@
-"""Decides for the endpoints that this instance owns."""
+"""Dispatching of requests to the endpoints that this instance owns."""
 
 import itertools
 import math
@@ -12,11 +12,11 @@
 from citronport.scheduler import queue
 
 MAX_HEADS_CHECKED = 6
-"""Workspaces whose first request is looked at for a free place."""
+"""Workspaces, per group and tier, whose first request is considered."""
 
 
 class Owner:
-    """Queue, budgets and caches of the owned endpoints."""
+    """Queue, endpoint states and cache models of the owned endpoints."""
 
     def __init__(self) -> None:
         self.queue = queue.Queue()
@@ -37,7 +37,7 @@
         assigned: models.OwnershipChanged,
         now: float,
     ) -> None:
-        """Follow the catalogue and the ownership."""
+        """Apply a change of the catalogue or of the ownership."""
         owned = assigned.owned
         self._rings = rings
         self._endpoints_by_group = {}
@@ -64,24 +64,24 @@
                     ).append(name)
 
     def connect(self, endpoint: str, now: float) -> None:
-        """A connection came up: a start, cold until shown warm."""
+        """Record a new connection as a new, cold start of the endpoint."""
         self._connected[endpoint] = None
         if endpoint in self.states:
             budget.record_connection(self.states[endpoint], now)
             self._caches[endpoint].clear()
 
     def is_warm(self, endpoint: str) -> bool:
-        """Return whether an owned endpoint was shown warm since its start."""
+        """Return whether an owned endpoint proved warm since its start."""
         state = self.states.get(endpoint)
         return state is not None and state.warm
 
     def has_warm_evidence(self, endpoint: str, now: float) -> bool:
-        """Return whether young evidence says that an endpoint is warm."""
+        """Return whether recent evidence shows that an endpoint is warm."""
         state = self.states.get(endpoint)
         return state is not None and budget.has_warm_evidence(state, now)
 
     def disconnect(self, endpoint: str) -> None:
-        """A connection broke."""
+        """Record a lost connection."""
         self._connected.pop(endpoint, None)
         if endpoint in self.states:
             budget.record_disconnection(self.states[endpoint])
@@ -89,19 +89,19 @@
     def apply_report(
         self, endpoint: str, report: models.LoadReport, now: float
     ) -> None:
-        """A load report came."""
+        """Update an endpoint's state from a load report."""
         if endpoint in self.states:
             budget.apply_report(self.states[endpoint], report, now)
 
     def apply_cache_report(self, event: models.CacheReported) -> None:
-        """Cache events came."""
+        """Update an endpoint's cache model from its cache events."""
         cache = self._caches.get(event.endpoint)
         if cache is not None:
             cache.evict(event.evicted)
             cache.store(event.stored)
 
     def get_usable(self, group: queue.Group) -> list[str]:
-        """Return owned endpoints in service that are connected."""
+        """Return the owned endpoints that are in service and connected."""
         return [
             name
             for name in self._endpoints_by_group.get(group, ())
@@ -109,18 +109,18 @@
         ]
 
     def get_running(self) -> list[int]:
-        """Return the requests in progress, by tier."""
+        """Return the number of running requests, by tier."""
         return list(self._running)
 
     def get_running_request(self, request_id: str) -> models.Request | None:
-        """Return a request that runs."""
+        """Return a running request; None if it does not run."""
         place = self._endpoint_by_request.get(request_id)
         if place is None:
             return None
         return self.states[place].running[request_id].request
 
     def estimate_cost(self, request: models.Request) -> float:
-        """Return the work of a request, seconds of a mean endpoint."""
+        """Return the cost of a request, seconds of a mean endpoint."""
         ring = self._rings.get(queue.get_group(request))
         if ring is None:
             return 0.1
@@ -130,7 +130,7 @@
         )
 
     def estimate_service(self, request: models.Request) -> float:
-        """Return the seconds a request takes once it is started."""
+        """Return the seconds from the start to the end of a request."""
         ring = self._rings.get(queue.get_group(request))
         if ring is None:
             return 0.1
@@ -147,7 +147,7 @@
         return prefill + output / max(1.0, decode)
 
     def get_capacity(self, group: queue.Group) -> float:
-        """Return the owned capacity, in mean endpoints."""
+        """Return the owned capacity, in units of a mean endpoint."""
         ring = self._rings.get(group)
         if ring is None:
             return 0.0
@@ -166,8 +166,8 @@
         """Return the seconds until a request would start.
 
         Args:
-            group: what it needs.
-            ahead: work that is served before it, seconds.
+            group: endpoint kind and model that it needs.
+            ahead: queued work served before it, seconds.
             now: clock time, seconds.
         """
         names = self.get_usable(group)
@@ -179,10 +179,10 @@
         return wait + ahead / max(0.01, self.get_capacity(group))
 
     def start(self, floor: int, now: float) -> list[models.Dispatch]:
-        """Start what may be started, higher tiers first.
+        """Dispatch queued requests that may start, higher tiers first.
 
         Args:
-            floor: lowest tier that may be started.
+            floor: lowest tier that may start.
             now: clock time, seconds.
         """
         dispatches: list[models.Dispatch] = []
@@ -204,7 +204,7 @@
         return dispatches
 
     def _has_room(self, name: str, tier: int) -> bool:
-        # A cheap look first: most events find all endpoints full.
+        # A cheap check first: at most events all endpoints are full.
         state = self.states[name]
         full = len(state.running) >= state.limit
         return not full or budget.count_lower_tiers(state, tier) > 0
@@ -228,11 +228,11 @@
     ) -> str | None:
         """Return the endpoint to start on, or None to wait.
 
-        Load: shared documents and unlike engines. Harm: the first free
-        endpoint prefills again what another one holds, or is slower by
-        more than the wait for a better one. The endpoint with the
-        earliest expected first token is taken, its wait included; if that
-        one has no room now, waiting for it is what is best.
+        With shared prefixes and engines of different speed, the first free
+        endpoint may repeat prefill that another one has cached, or may be
+        slower by more than the wait for a better one. The endpoint with
+        the best score, its wait included, is chosen; while it has no room,
+        the request waits for it during part of its slack.
         """
         request = waiting.request
         slack = request.deadline - waiting.queued_at
@@ -265,12 +265,12 @@
     def _choose_overcommitted(
         self, waiting: queue.QueuedRequest, now: float
     ) -> str | None:
-        """Return where a request below the floor may start nevertheless.
+        """Return an endpoint for a request below the floor, or None.
 
-        Load: a burst of a high tier lasts longer than the slack of a
-        middle one, while old work of a low tier still runs. Harm: the
-        middle one is shed while the low one is served. It may take the
-        room of running requests below its own tier, nobody else's.
+        A burst of a high tier can outlast the slack of a middle tier while
+        requests of a low tier still run. The middle tier would be shed
+        while the low one is served. Such a request may overcommit an
+        endpoint at the cost of running requests below its own tier only.
         """
         request = waiting.request
         slack = request.deadline - waiting.queued_at
@@ -293,7 +293,10 @@
         request: models.Request,
         now: float,
     ) -> float | None:
-        """Return the cost of a place, seconds; None if it ends too late."""
+        """Return an endpoint's score, seconds; None if it is too late.
+
+        The score is the sum of wait, weighted prefill and decoding.
+        """
         cached = self._caches[name].count_cached(request)
         prefill = estimate.estimate_prefill(state, request, cached)
         if not state.warm:
@@ -328,14 +331,14 @@
         return models.Dispatch(request_id=request.request_id, endpoint=name)
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """The first token of a running request came."""
+        """Record the first token of a running request."""
         place = self._endpoint_by_request.get(request_id)
         if place is not None:
             state = self.states[place]
             budget.record_first_token(state, request_id, now)
 
     def assume_cold(self, request_id: str, now: float) -> None:
-        """The endpoint of a running request may have started over."""
+        """Assume that the endpoint of a running request restarted cold."""
         place = self._endpoint_by_request.get(request_id)
         if place is not None and budget.has_cold_start(
             self.states[place].spec
@@ -345,7 +348,7 @@
     def finish(
         self, request_id: str, now: float, output_tokens: int
     ) -> models.Request | None:
-        """A running request is over; return it."""
+        """Remove and return a running request that has finished."""
         place = self._endpoint_by_request.pop(request_id, None)
         if place is None:
             return None
@@ -363,7 +366,7 @@
     def fail(
         self, request_id: str, now: float, *, sent: bool
     ) -> queue.QueuedRequest | None:
-        """The dispatch of a request failed; return what had waited."""
+        """Remove a request whose dispatch failed; return its queue item."""
         place = self._endpoint_by_request.pop(request_id, None)
         if place is None:
             return None
@@ -376,7 +379,7 @@
         return self._started.pop(request_id)
 
     def cancel(self, request_id: str, now: float) -> str | None:
-        """A running request is stopped; return its endpoint."""
+        """Remove a running request that is cancelled; return its endpoint."""
         place = self._endpoint_by_request.pop(request_id, None)
         if place is None:
             return None
@@ -387,7 +390,7 @@
         return place
 
     def check_first_tokens(self, now: float) -> None:
-        """Fall back to the cold budget where a first token is overdue."""
+        """Fall back to the cold budget if a first token is overdue."""
         for state in self.states.values():
             if (
                 state.warm
@@ -398,6 +401,6 @@
                 budget.assume_cold(state, now)
 
     def get_queue_wait(self, group: queue.Group, tier: int) -> float:
-        """Return the seconds that the work in a tier takes."""
+        """Return the seconds that the queued work of a tier takes."""
         capacity = max(0.01, self.get_capacity(group))
         return self.queue.get_cost(group, tier) / capacity
--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -1,20 +1,22 @@
-"""Which instance alone sends to an endpoint, and how sure it may be of it.
+"""Ownership of endpoints: the single instance that sends to each of them.
 
-Each endpoint has one owner: the first by rendezvous hash among the
-instances of its data centre (among all where there is none). Views of the
-list differ for a while, so that being first is not enough to feed an
-endpoint in cold start. Two authorities, each of which only one instance
-can hold at a time, divide what a cold start bears:
+The owner of an endpoint is the first instance by rendezvous hash among
+those of its data centre, or among all if that data centre has none. The
+instances' views of the instance list differ for a while, so being first is
+not sufficient to send to an endpoint in cold start. The cold-start capacity
+is divided between two authorities, each held by one instance at a time:
 
-* the platform: the list was read within the lease and names this instance;
+* the platform: the list was read within the lease and contains this
+  instance;
 * the peers: every other instance on the list answered within the lease,
   and none has a newer list.
 
-An instance that holds both may use all of it. With one alone it may use
-that one's half, since a stranger behind a partition could hold the other.
-With none it starts nothing on a cold endpoint. A new owner waits until
-the lease of any earlier one has run out and the endpoint has shown itself
-idle after that, unless the earlier owner released the endpoint to it.
+An instance that holds both may use the whole capacity. With only one it may
+use that authority's half, since an unknown instance behind a network
+partition could hold the other. With none it sends nothing to a cold
+endpoint. A new owner waits until the lease of any earlier owner has expired
+and the endpoint was idle after that, unless the earlier owner released the
+endpoint to it.
 """
 
 import collections.abc
@@ -25,19 +27,19 @@
 from citronport.scheduler import models
 
 LEASE_SECONDS = 3.0
-"""How long one acknowledgement lasts.
+"""Validity of one acknowledgement.
 
-Two reads of the list in a row may be lost before it runs out; a change of
-owner without a release costs this much time.
+Outlasts two consecutive failed reads of the list. A change of owner without
+a release takes at least this long.
 """
 
 TAKEOVER_SECONDS = 3.6
-"""How long a new owner waits: the lease, and a margin for clock rates."""
+"""Wait of a new owner: the lease plus a margin for clock rate differences."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Member:
-    """An instance as far as ownership goes."""
+    """Attributes of an instance that determine ownership."""
 
     name: str
     data_centre: str
@@ -45,16 +47,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _OwnedEndpoint:
-    """An endpoint owned here.
+    """An endpoint owned by this instance.
 
     Attributes:
-        owner_by_list: whether the list alone, without what instances said of
-            leaving, makes this instance the owner. Announcements reach
-            some and not others, so that two instances could count on one
-            each; only the list can give the right to feed a cold start.
-        owned_since: clock time from which that has been so.
-        released: whether the earlier owner gave the endpoint up.
-        seen_idle: whether it was seen without work after any earlier lease.
+        owner_by_list: whether this instance is the owner by the list alone,
+            ignoring announced leaves. An announcement may reach only some
+            instances, so two of them could each take themselves for the
+            owner; only the list gives the right to send to a cold start.
+        owned_since: clock time since which ``owner_by_list`` has its value.
+        released: whether the earlier owner released the endpoint.
+        seen_idle: whether it was idle after any earlier lease expired.
     """
 
     owner_by_list: bool
@@ -68,7 +70,7 @@
 ) -> list[str]:
     """Return instance names by rendezvous hash for a key, highest first.
 
-    A change of one instance moves only the keys that it held.
+    Adding or removing one instance only moves the keys that it owns.
     """
     return sorted(
         names, key=lambda name: _get_rendezvous_weight(key, name), reverse=True
@@ -80,7 +82,7 @@
 
 
 class Ownership:
-    """What one instance knows of who owns what.
+    """Endpoint owners as one instance sees them.
 
     Args:
         instance: name of this instance.
@@ -101,7 +103,7 @@
     def update_members(
         self, members: dict[str, Member], version: int, now: float
     ) -> None:
-        """Take the newest instance list.
+        """Apply a new instance list.
 
         Args:
             members: instances in service, by name.
@@ -111,12 +113,12 @@
         before = self._members
         self._members = members
         self._list_version = version
-        # An answer from before the change confirms the list before it.
+        # Earlier contacts confirm only the previous list.
         self._contacted_at.clear()
         self._reassign(before, members, now)
 
     def update_leaving(self, name: str, leaving: bool, now: float) -> None:
-        """Take what an instance said of itself: no new work, or again."""
+        """Apply an instance's announcement that it leaves or is back."""
         if leaving == (name in self._leaving):
             return
         before = self._get_eligible()
@@ -124,7 +126,7 @@
         self._reassign(before, self._get_eligible(), now)
 
     def update_endpoints(self, endpoints: dict[str, str], now: float) -> None:
-        """Take the endpoints, data centre by name."""
+        """Apply a new set of endpoints, given as data centre by name."""
         changed = {
             name
             for name, centre in endpoints.items()
@@ -142,12 +144,12 @@
         self._assign(changed, now)
 
     def record_platform_confirmation(self, asked_at: float) -> None:
-        """Note that the platform confirmed the list.
+        """Record that the platform confirmed the list.
 
         Args:
-            asked_at: clock time at which the question was sent. The answer
-                may have lain in a buffer while the process was stopped,
-                so that its arrival says nothing.
+            asked_at: clock time at which the request was sent. The time of
+                the answer's arrival proves nothing, since it may have been
+                buffered while the process was paused.
         """
         self._platform_confirmed_at = max(
             self._platform_confirmed_at, asked_at
@@ -156,29 +158,36 @@
     def record_contact(
         self, instance: str, asked_at: float, list_version: int
     ) -> None:
-        """Note that another instance answered a question sent at a time."""
+        """Record an answer of another instance to a request.
+
+        Args:
+            instance: the instance that answered.
+            asked_at: clock time at which the request was sent.
+            list_version: version of its instance list; an answer under
+                another version than this instance's list is ignored.
+        """
         if list_version == self._list_version:
             previous = self._contacted_at.get(instance, asked_at)
             self._contacted_at[instance] = max(previous, asked_at)
 
     def record_release(self, endpoint: str) -> None:
-        """Note that the earlier owner has nothing more at an endpoint."""
+        """Record that the earlier owner has no more work at an endpoint."""
         held = self._owned.get(endpoint)
         if held is not None and held.owner_by_list:
             held.released = True
 
     def record_idle(self, endpoint: str, seen_at: float) -> None:
-        """Note that an endpoint had no work at a clock time."""
+        """Record that an endpoint was idle at a clock time."""
         held = self._owned.get(endpoint)
         if held is not None and seen_at > held.owned_since + TAKEOVER_SECONDS:
             held.seen_idle = True
 
     def find_owner(self, endpoint: str) -> str | None:
-        """Return the owner of an endpoint as far as this view goes."""
+        """Return the owner of an endpoint as this instance sees it."""
         return self._owners.get(endpoint)
 
     def get_ownership(self, now: float) -> models.OwnershipChanged:
-        """Return what this instance may do now."""
+        """Return the ownership in force now, as a scheduler event."""
         suspended = frozenset(
             name
             for name, held in self._owned.items()
@@ -192,7 +201,7 @@
         )
 
     def get_cold_share(self, now: float) -> models.ColdShare:
-        """Return which part of what a cold start bears may be used."""
+        """Return the share of the cold-start capacity that may be used."""
         platform = now - self._platform_confirmed_at <= LEASE_SECONDS
         if self._instance not in self._members:
             platform = False
@@ -208,8 +217,8 @@
     def may_send_cold(self, endpoint: str, now: float) -> bool:
         """Return whether one more request may go to a cold endpoint.
 
-        Asked between the last wait and the send: a process that was
-        stopped in between finds its lease run out.
+        Checked after the last point at which the sender can block, so that
+        a process that was paused there finds its lease expired.
         """
         held = self._owned.get(endpoint)
         if held is None or not self._may_use_cold(held, now):
@@ -246,9 +255,9 @@
         joined = {n for n, m in after.items() if before.get(n) != m}
         centres = {after[name].data_centre for name in joined}
         centres |= {before[name].data_centre for name in left}
-        # Only endpoints of the data centres whose instances changed can
-        # get another owner, or those that lean on other data centres:
-        # the work does not grow with the whole fleet.
+        # Only endpoints of data centres whose instances changed, or of
+        # data centres without instances, can get another owner. This keeps
+        # the cost independent of the size of the fleet.
         occupied_centres = {member.data_centre for member in after.values()}
         affected = {
             name
@@ -260,8 +269,8 @@
     def _assign(
         self, endpoints: collections.abc.Iterable[str], now: float
     ) -> None:
-        # What was handed out stays as it was: a shared mapping would hide
-        # from the other side that an owner changed.
+        # Copied, since the mapping was handed out: a change in place would
+        # hide from its receiver that an owner changed.
         self._owners = dict(self._owners)
         eligible = _group(self._get_eligible())
         listed = _group(self._members)
@@ -301,12 +310,12 @@
 def choose_owner(
     endpoint: str, centre: str, members: dict[str, Member]
 ) -> str | None:
-    """Return the owner that a list of instances gives an endpoint.
+    """Return the owner of an endpoint under a list of instances.
 
     Args:
-        endpoint: its name.
-        centre: the data centre that it stands in.
-        members: the instances in service, by name.
+        endpoint: name of the endpoint.
+        centre: name of its data centre.
+        members: instances in service, by name.
     """
     return _choose(endpoint, centre, _group(members))
 
--- a/citronport/scheduler/placement.py
+++ b/citronport/scheduler/placement.py
@@ -1,4 +1,4 @@
-"""Which endpoints are candidates for a request: few, never all."""
+"""Selection of a few candidate endpoints for a request by hashing."""
 
 import bisect
 import collections.abc
@@ -10,21 +10,22 @@
 
 
 class HashRing:
-    """Endpoints of one model on a hash ring, weighted by their speed.
+    """Consistent hash ring of one model's endpoints, weighted by speed.
 
-    Load: thousands of endpoints. Harm: a decision that looks at all of
-    them costs more with each one. A lookup is a binary search; it is
-    built anew only when the set of endpoints changes.
+    With thousands of endpoints, a decision that examines all of them is
+    too expensive. A lookup here is a binary search, and the ring is rebuilt
+    only when the set of endpoints changes.
 
     Attributes:
-        prefill_rate: mean prompt tokens a second.
-        decode_rate: mean answer tokens a second of a full batch.
+        prefill_rate: mean prompt tokens per second.
+        decode_rate: mean answer tokens per second of a full batch.
     """
 
     def __init__(self, endpoints: list[models.Endpoint]) -> None:
         rates = [e.prefill_rate for e in endpoints]
         mean = sum(rates) / max(1, len(rates))
-        # A large fleet evens out by itself, and is costly to hash.
+        # A large fleet is balanced with fewer points per endpoint, and
+        # hashing many points is expensive.
         points_per_endpoint = const.RING_POINTS_TOTAL // max(1, len(endpoints))
         points_per_endpoint = min(
             const.RING_POINTS_PER_ENDPOINT,
@@ -45,16 +46,15 @@
         self.decode_rate = sum(batch_rates) / max(1, len(batch_rates))
 
     def get_cost(self, prompt_tokens: float, output_tokens: float) -> float:
-        """Return the seconds of a mean endpoint that a request takes.
+        """Return the cost of a request, seconds of a mean endpoint.
 
-        Prefill and decoding go on side by side, so that the scarcer one
-        counts.
+        Prefill and decoding run in parallel, so the larger one counts.
         """
         prefill = prompt_tokens / max(1.0, self.prefill_rate)
         return max(prefill, output_tokens / max(1.0, self.decode_rate))
 
     def find_successors(self, key: int, count: int) -> list[str]:
-        """Return up to ``count`` distinct endpoints that follow a key."""
+        """Return up to ``count`` distinct endpoints that follow ``key``."""
         found: list[str] = []
         start = bisect.bisect_left(self._positions, key)
         for step in range(len(self._names)):
@@ -67,19 +67,19 @@
 
 
 def hash_text(text: str) -> int:
-    """Return a 64-bit hash of a text, the same on each instance."""
+    """Return a 64-bit hash of a text, identical on all instances."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 def hash_to_fraction(text: str) -> float:
-    """Return a number in [0, 1) that depends on a text only."""
+    """Return a number in [0, 1) derived from the hash of a text."""
     return hash_text(text) / 2**64
 
 
 def make_hash_rings(
     fleet: models.Fleet,
 ) -> dict[tuple[models.Kind, str], HashRing]:
-    """Return a ring for each kind and model, of what is in service."""
+    """Return a ring of the endpoints in service for each kind and model."""
     groups: dict[tuple[models.Kind, str], list[models.Endpoint]] = {}
     for endpoint in fleet.endpoints.values():
         if not is_in_service(fleet, endpoint):
@@ -90,23 +90,23 @@
 
 
 def is_in_service(fleet: models.Fleet, endpoint: models.Endpoint) -> bool:
-    """Return whether operators let an endpoint have new work."""
+    """Return whether an endpoint and its data centre are in service."""
     centre = fleet.data_centres.get(endpoint.data_centre)
     return endpoint.state == models.Service.IN and centre == models.Service.IN
 
 
 def find_candidates(ring: HashRing, request: models.Request) -> list[str]:
-    """Return endpoints to choose from, those with the prefix first.
+    """Return candidate endpoints, those selected by the prefix first.
 
-    Load: documents that several requests share, uneven load. Harm: by
-    load alone each engine prefills each document; by prefix alone one
-    engine gets all of a popular document's requests. Two places for a
-    prefix and two by chance leave a way out at four looks.
+    Requests may share a document. Placement by load alone makes each
+    engine prefill each document; placement by prefix alone sends all
+    requests of a popular document to one engine. Two candidates by prefix
+    and two random ones avoid both at the cost of four checks.
     """
     found = []
     if request.prefix:
         block = min(len(request.prefix) - 1, const.AFFINITY_BLOCK_INDEX)
-        # The key hashes the block: its own value may not be spread.
+        # Block values may be unevenly distributed, so they are hashed.
         key = hash_text(str(request.prefix[block]))
         found = ring.find_successors(key, const.AFFINITY_CANDIDATES)
     random_names = ring.find_successors(
@@ -120,7 +120,7 @@
     request: models.Request,
     seen: collections.abc.Container[str],
 ) -> list[str]:
-    """Return a few further endpoints when the first ones are no good."""
+    """Return additional candidates if the first ones are unsuitable."""
     key = hash_text(f"{request.request_id}/more")
     found = ring.find_successors(key, const.RANDOM_CANDIDATES * 2)
     return [name for name in found if name not in seen]
--- a/citronport/scheduler/pressure.py
+++ b/citronport/scheduler/pressure.py
@@ -1,10 +1,11 @@
-"""How instances learn of each other's pressure, so that lower tiers stop.
-
-Each instance publishes its floor: the lowest tier that may still be
-started. The lowest floor of all that can be reached is in force
-everywhere, so that lower tiers drain by themselves, none of them cut,
-before a higher one has to be shed. In a partition this holds within each
-part, since only summaries that still come count.
+"""Exchange of load pressure between instances, to hold back lower tiers.
+
+An instance is under pressure while one of its tiers waits too long. Each
+instance publishes its floor: the lowest tier that may still start. The
+lowest floor of all reachable instances is in force everywhere, so running
+requests of lower tiers finish, without being cut, before a higher tier has
+to be shed. During a network partition this holds within each part, since
+only recent summaries count.
 """
 
 import dataclasses
@@ -19,7 +20,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class EntryUsage:
-    """What the other instances have admitted under one entry."""
+    """Usage of one catalogue entry at all other instances."""
 
     running: int = 0
     rate: float = 0.0
@@ -28,15 +29,15 @@
 
 @dataclasses.dataclass(kw_only=True)
 class PeerView:
-    """The summaries of the other instances in one.
+    """Merged summaries of the other instances.
 
     Attributes:
-        built_at: clock time of the last full count.
-        instance_count: how many are in reach.
-        floor: lowest floor.
-        lowest_running_tier: lowest tier that is served; -1 if none is.
+        built_at: clock time of the last full rebuild.
+        instance_count: number of reachable instances.
+        floor: lowest published floor.
+        lowest_running_tier: lowest tier that is running; -1 if none is.
         waits: shortest wait by model and tier, seconds.
-        usage_by_entry: by catalogue entry.
+        usage_by_entry: usage by catalogue entry.
     """
 
     built_at: float = -math.inf
@@ -52,7 +53,7 @@
 
 
 class Pressure:
-    """The floor of this instance and the summaries of the others."""
+    """Floor of this instance and summaries of the others."""
 
     def __init__(self) -> None:
         self._floor = LOWEST_TIER
@@ -64,21 +65,21 @@
 
     @property
     def own_floor(self) -> int:
-        """The floor to publish; never lowered by what others publish.
+        """Floor to publish; independent of the floors of other instances.
 
-        Two instances that took over each other's floor would hold it
-        down for ever.
+        Two instances that adopted each other's floor would keep it low
+        forever.
         """
         return self._floor
 
     def update(self, starved_tier: int | None, now: float) -> None:
-        """Set the own floor.
+        """Update the own floor.
 
-        Load: saturation. Harm: a floor that rises as soon as a queue is
-        empty lets long requests of a lower tier start, and the higher one
-        is in need again before they end. The floor rises tier by tier,
-        each after a time without pressure, which doubles when pressure
-        came back within that time.
+        If the floor rose as soon as a queue is empty, a saturated instance
+        would start long requests of a lower tier, and the higher tier would
+        wait again before they end. The floor therefore rises one tier at a
+        time, each after a hold time without pressure. The hold time doubles
+        if pressure returns soon after the floor rose.
 
         Args:
             starved_tier: highest tier that waits too long; None if none does.
@@ -109,7 +110,7 @@
     def record_summary(
         self, summary: models.InstanceSummary, now: float
     ) -> None:
-        """Note what another instance told."""
+        """Record a summary of another instance."""
         previous = self._peers.get(summary.instance)
         self._peers[summary.instance] = (summary, now)
         view = self._view
@@ -124,14 +125,14 @@
         _add_usage(view, summary, 1)
 
     def remove_peer(self, instance: str) -> None:
-        """Another instance is out of reach."""
+        """Remove an instance that is unreachable."""
         self._peers.pop(instance, None)
         self._view.built_at = -math.inf
 
     def get_peer(
         self, instance: str, now: float
     ) -> models.InstanceSummary | None:
-        """Return a summary that is not too old."""
+        """Return an instance's summary; None if it is missing or too old."""
         received = self._peers.get(instance)
         if (
             received is None
@@ -141,11 +142,12 @@
         return received[0]
 
     def get_view(self, now: float) -> PeerView:
-        """Return the other instances as one.
+        """Return the merged summaries of the other instances.
 
-        Load: hundreds of instances. Harm: each event costs more with each
-        of them. The sum is made anew at a steady pace; in between a new
-        summary only adds what makes this instance more careful.
+        With hundreds of instances, merging all summaries on each event is
+        too expensive. The view is rebuilt at intervals. In between, a new
+        summary is merged in; it can lower the floor but never raise it, so
+        that this instance errs on the side of caution.
         """
         if now - self._view.built_at < const.VIEW_MAX_AGE_SECONDS:
             return self._view
@@ -161,21 +163,21 @@
     def get_shortest_peer_wait(
         self, model: str, tier: int, now: float
     ) -> float:
-        """Return the shortest wait that another instance tells of."""
+        """Return the shortest wait reported by another instance."""
         return self.get_view(now).waits.get((model, tier), math.inf)
 
     def get_floor(self, now: float) -> int:
-        """Return the lowest tier that may be started now."""
+        """Return the floor in force now."""
         return min(self._floor, self.get_view(now).floor)
 
     def serves_lower_tier(
         self, tier: int, running: list[int], now: float
     ) -> bool:
-        """Return whether a lower tier is served anywhere in reach.
+        """Return whether this or a reachable instance runs a lower tier.
 
         Args:
-            tier: the tier of a request that is about to be shed.
-            running: requests that run here, by tier.
+            tier: tier of a request that is about to be shed.
+            running: requests running here, by tier.
             now: clock time, seconds.
         """
         return (
--- a/citronport/scheduler/queue.py
+++ b/citronport/scheduler/queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait, by tier, then weighted fair between workspaces."""
+"""Queue of requests: by tier, then weighted fair between workspaces."""
 
 import collections
 import collections.abc
@@ -8,24 +8,24 @@
 from citronport.scheduler import models
 
 Group = tuple[models.Kind, str]
-"""What a request needs: kind of endpoint and model."""
+"""Endpoint kind and model that a request needs."""
 
 
 def get_group(request: models.Request) -> Group:
-    """Return what a request needs."""
+    """Return the endpoint kind and model that a request needs."""
     return request.kind, request.model
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class QueuedRequest:
-    """A request that waits.
+    """A queued request.
 
     Attributes:
         request: the request.
-        queued_at: when it began to wait, clock seconds.
-        cost_seconds: expected work, seconds of a usual endpoint.
+        queued_at: time at which it was queued, clock seconds.
+        cost_seconds: expected work, seconds of a mean endpoint.
         forwarded: whether another instance sent it here.
-        start_tag: start tag of the fair queue.
+        start_tag: start tag in the fair queue.
         failed_dispatches: dispatches that failed before a byte was sent.
     """
 
@@ -38,14 +38,14 @@
 
 
 class Queue:
-    """Start-time fair queueing in each tier.
-
-    Load: one workspace sends most of a tier. Harm: first come, first
-    served gives it most of the service, and the small ones wait behind
-    it. A request's tag is the work that its workspace has been given so
-    far over its weight, so that the one with least service is next; a
-    workspace that comes back starts at the present tag, not at its old
-    one, so that being idle earns no credit.
+    """Start-time fair queueing within each tier.
+
+    If one workspace sends most of a tier's requests, first come, first
+    served gives it most of the service and makes the other workspaces wait
+    behind it. A request's start tag is the work of its workspace so far,
+    divided by the weight, so that the workspace with the least service is
+    next. A workspace that was idle continues at the current virtual time
+    instead of its old tag, so that idle time earns no credit.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         return request_id in self._by_id
 
     def push(self, waiting: QueuedRequest, weight: float) -> None:
-        """Let a request wait behind its workspace's others."""
+        """Queue a request behind the others of its workspace."""
         request = waiting.request
         key = (request.tier, request.workspace)
         start = max(
@@ -87,7 +87,7 @@
         self._add_cost(waiting, waiting.cost_seconds)
 
     def pop(self, request_id: str) -> QueuedRequest | None:
-        """Take a request out, wherever it waits."""
+        """Remove and return a request; None if it is not queued."""
         waiting = self._by_id.pop(request_id, None)
         if waiting is None:
             return None
@@ -104,7 +104,7 @@
         return waiting
 
     def start(self, request_id: str) -> None:
-        """Take a request out because it starts now."""
+        """Remove a request that starts now and advance the virtual time."""
         waiting = self.pop(request_id)
         if waiting is None:
             return
@@ -116,7 +116,7 @@
     def iterate_heads(
         self, group: Group, tier: int
     ) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield the first of each workspace, least served first."""
+        """Yield the first request of each workspace, least served first."""
         queues = self._queues.get((group, tier))
         if not queues:
             return
@@ -126,7 +126,7 @@
     def iterate_tails(
         self, group: Group, tier: int
     ) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield the last of each workspace, most served first."""
+        """Yield the last request of each workspace, most served first."""
         queues = self._queues.get((group, tier))
         if not queues:
             return
@@ -134,22 +134,23 @@
         yield from sorted(tails, key=lambda w: w.start_tag, reverse=True)
 
     def iterate_all(self) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield a snapshot of all that wait."""
+        """Yield all queued requests from a snapshot."""
         yield from list(self._by_id.values())
 
     def get_groups(self) -> list[tuple[Group, int]]:
-        """Return the groups and tiers in which something waits."""
+        """Return the groups and tiers that have queued requests."""
         return [key for key, queues in self._queues.items() if queues]
 
     def get_cost(self, group: Group, tier: int) -> float:
-        """Return the work that waits in one tier, seconds."""
+        """Return the queued work of one group and tier, seconds."""
         return max(0.0, self._cost[group, tier])
 
     def get_cost_ahead(self, request: models.Request, weight: float) -> float:
-        """Return the work that is served before a new request.
+        """Return the work that is served before a new request, seconds.
 
-        Higher tiers come first whole; in its own tier the others get no
-        more than their shares of what its workspace has waiting.
+        All work of higher tiers is served first. In the request's own tier,
+        each other workspace is served no more than its fair share while the
+        queued work of the request's workspace is served.
         """
         group = get_group(request)
         higher = sum(self.get_cost(group, t) for t in range(request.tier))
@@ -167,7 +168,10 @@
         return higher + min(tier_cost, fair_cost)
 
     def find_evictable(self, tier: int) -> QueuedRequest | None:
-        """Return a request of a lower tier that may make room."""
+        """Return a request of a lower tier that may be evicted.
+
+        The newest request in the longest queue of the lowest tier.
+        """
         for lowest in range(common.TIERS - 1, tier, -1):
             queues = [
                 queue
--- a/citronport/scheduler/rebalancing.py
+++ b/citronport/scheduler/rebalancing.py
@@ -1,4 +1,4 @@
-"""Shifting work: who must make room, and what had better go elsewhere."""
+"""Detection of starved tiers and of requests to move to other instances."""
 
 import collections.abc
 import itertools
@@ -13,13 +13,13 @@
     get_peer_wait: collections.abc.Callable[[str, int], float],
     now: float,
 ) -> int | None:
-    """Return the highest tier that waits too long, if any does.
+    """Return the highest tier that waits too long, or None.
 
     Args:
         owner: queue and endpoints of this instance.
-        get_peer_wait: shortest wait at another instance for a model
-            and a tier, seconds; where it is short, the request can
-            move, and nobody has to make room.
+        get_peer_wait: returns the shortest wait at another instance for a
+            model and a tier, seconds. If it is short, the request can move
+            there and lower tiers need not stop.
         now: clock time, seconds.
     """
     for tier, group in sorted(
@@ -49,9 +49,9 @@
 ) -> list[queue.QueuedRequest]:
     """Return a few requests that would wait far less elsewhere.
 
-    Load: forwards by summaries a moment old, and endpoints that slow
-    down after the forward. Harm: requests wait behind one endpoint
-    while others are idle.
+    Requests are forwarded on summaries that are slightly out of date, and
+    an endpoint may slow down afterwards. Without moves, requests would then
+    wait for one endpoint while others are idle.
     """
     found = []
     for tier, group in sorted(
--- a/citronport/scheduler/refusal.py
+++ b/citronport/scheduler/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals and their times to come back."""
+"""Refusals and their retry delays."""
 
 from citronport import errors
 from citronport.scheduler import const
@@ -9,18 +9,17 @@
 def make_refusal(
     request: models.Request, code: errors.Code, wait: float | None
 ) -> models.Refuse:
-    """Return the final answer of a request that is given up.
+    """Return the refusal of a request.
 
-    Load: a burst whose refused callers all come again. Harm: the same
-    retry time for all makes the next burst. The time follows the work
-    that waits, and a part drawn from the request's id spreads callers by
-    half of it either way.
+    If all callers refused during a burst had the same retry delay, they
+    would return as the next burst. The delay follows the queued work and is
+    multiplied by a factor from 0.75 to 1.25, derived from the request id.
 
     Args:
         request: the request.
-        code: why.
-        wait: seconds until the work that waits now is done; None where
-            it makes no sense to come back.
+        code: reason of the refusal.
+        wait: seconds until the work queued now is done; None if a retry
+            makes no sense.
     """
     retry_after = None
     if wait is not None:
--- a/citronport/scheduler/routing.py
+++ b/citronport/scheduler/routing.py
@@ -1,4 +1,4 @@
-"""Which instance a request goes to: the owner of a good candidate."""
+"""Routing of a request to the instance that owns the best candidate."""
 
 import collections
 import dataclasses
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Choice:
-    """An instance and what is expected there.
+    """A chosen instance and the wait expected there.
 
     Attributes:
-        instance: its name.
-        wait: seconds until the request starts there.
-        score: expected seconds until its first token.
-        affinity_key: affinity key of the prefix, if it has one.
-        endpoint: the candidate that the instance was chosen for.
+        instance: name of the instance.
+        wait: expected seconds until the request starts there.
+        score: wait plus weighted prefill, seconds; lower is better.
+        affinity_key: affinity key of the prefix; None without a prefix.
+        endpoint: candidate endpoint that the instance was chosen for.
     """
 
     instance: str
@@ -32,12 +32,12 @@
 
 
 class Router:
-    """Chooses among few candidates by the owners' summaries.
+    """Chooses among a few candidates by their owners' summaries.
 
-    Load: entries with stale views of each other. Harm: all of them send
-    to the owner that was idle a moment ago. Few candidates, of which two
-    by chance, keep them apart, and what this instance sent since the
-    owner's last summary counts as its wait.
+    Instances with outdated views of each other would all send to the owner
+    that was idle a moment ago. A small set of candidates, two of them
+    random, spreads their choices. In addition, the work that this instance
+    sent since the owner's last summary counts towards the wait there.
     """
 
     def __init__(
@@ -65,13 +65,13 @@
         rings: dict[queue.Group, placement.HashRing],
         owners: dict[str, str],
     ) -> None:
-        """Follow the catalogue and the ownership."""
+        """Apply a change of the catalogue or of the ownership."""
         self._fleet = fleet
         self._rings = rings
         self._owners = owners
 
     def clear_unreported_cost(self, instance: str) -> None:
-        """A new summary of an instance counts what was sent to it."""
+        """Forget work sent to an instance that its new summary includes."""
         for key in [k for k in self._unreported_cost if k[0] == instance]:
             del self._unreported_cost[key]
 
@@ -81,7 +81,7 @@
         refused_by: tuple[str, ...],
         now: float,
     ) -> Choice | None:
-        """Return where to send a request, or None if there is nowhere."""
+        """Return where to send a request; None if no candidate is usable."""
         ring = self._rings.get(queue.get_group(request))
         if ring is None:
             return None
@@ -94,7 +94,7 @@
         return best
 
     def record(self, request: models.Request, choice: Choice) -> None:
-        """Note that a request goes to the chosen instance."""
+        """Record that a request is sent to the chosen instance."""
         if choice.affinity_key is not None:
             self._endpoint_by_prefix[choice.affinity_key] = choice.endpoint
             self._endpoint_by_prefix.move_to_end(choice.affinity_key)
--- a/citronport/scheduler/shedding.py
+++ b/citronport/scheduler/shedding.py
@@ -1,4 +1,4 @@
-"""When a request is given up for want of capacity."""
+"""Load shedding: refusal of requests for lack of capacity."""
 
 from citronport import errors
 from citronport.scheduler import const
@@ -11,7 +11,7 @@
 
 
 class Shedder:
-    """Knows the floor in force and refuses what is below it for long."""
+    """Refuses requests whose tier has been below the floor for long."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._floor_lowered_at = 0.0
 
     def get_floor(self, now: float) -> int:
-        """Return the lowest tier that may be started now."""
+        """Return the floor in force now: the lowest tier that may start."""
         floor = self._pressure.get_floor(now)
         if floor < self._floor:
             self._floor_lowered_at = now
@@ -34,18 +34,18 @@
         return floor
 
     def serves_lower_tier(self, request: models.Request, now: float) -> bool:
-        """Return whether a lower tier is served anywhere in reach."""
+        """Return whether this or a reachable instance runs a lower tier."""
         running = self._owner.get_running()
         return self._pressure.serves_lower_tier(request.tier, running, now)
 
     def is_below_floor(self, request: models.Request, now: float) -> bool:
-        """Return whether a request's tier is not started for too long.
+        """Return whether a request's tier has been below the floor too long.
 
-        Load: bursts, and overload that lasts. Harm: refused at the first
-        sign of pressure, a long request that could have waited is lost;
-        taken in under pressure that lasts, it waits until it is too late.
-        Limit: pressure that is older than a part of its slack counts as
-        lasting. While a still lower tier is served, it waits all the same.
+        Refusing at the first sign of pressure would lose requests that
+        could outwait a burst; queueing them under lasting pressure would
+        only make them late. Pressure counts as lasting once the floor has
+        been low for a fraction of the request's slack. While a still lower
+        tier is running, the request waits all the same.
         """
         if request.tier <= self.get_floor(now):
             return False
@@ -58,7 +58,7 @@
     def shed(
         self, request: models.Request, code: errors.Code, now: float
     ) -> list[models.Action]:
-        """Return the refusal of a request, with a time to come back."""
+        """Return the refusal of a request, with a retry delay."""
         group = queue.get_group(request)
         ahead = self._owner.queue.get_cost_ahead(request, 1.0)
         wait = ahead / max(0.1, self._owner.get_capacity(group))
--- a/citronport/scheduler/summary.py
+++ b/citronport/scheduler/summary.py
@@ -1,4 +1,4 @@
-"""What an instance tells the others of itself."""
+"""Load summary of an instance, sent to the others."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SummarySource:
-    """The parts of a scheduler that a summary is made of."""
+    """Parts of a scheduler that its summary is built from."""
 
     instance: str
     fleet: models.Fleet | None
@@ -23,7 +23,7 @@
 
 
 def make_summary(source: SummarySource, now: float) -> models.InstanceSummary:
-    """Return the summary of an instance; its size grows with the models."""
+    """Return an instance's summary; its size grows with the models served."""
     usage = source.limiter.summarize(now)
     owner = source.owner
     offered = [g for g in source.groups if owner.get_usable(g)]
