--- a/tests/scheduler/test_budget.py
+++ b/tests/scheduler/test_budget.py
@@ -122,7 +122,7 @@
             self.deliver(name, models.AnswerFinished(request_id=request_id))
 
     @stateful.rule()
-    def cut(self):
+    def cut_connection(self):
         """A connection breaks, but the endpoint still works at it."""
         if self.in_progress:
             request_id, (name, _) = next(iter(self.in_progress.items()))
@@ -135,7 +135,7 @@
             )
 
     @stateful.rule()
-    def end_abandoned(self):
+    def end_abandoned_request(self):
         """The endpoint ends one whose sender is gone."""
         for request_id in list(self.in_progress):
             if request_id in self.refused:
@@ -171,7 +171,7 @@
         self.reports.append((self.now, len(self.in_progress), self.cold))
 
     @stateful.rule(lag=strategies.floats(0.01, 5.0))
-    def bring_report(self, lag):
+    def apply_oldest_report(self, lag):
         """The oldest report comes, late."""
         if not self.reports:
             return
@@ -223,7 +223,7 @@
         )
         budget.apply_report(self.state, report, now)
 
-    def test_report_from_before_the_start_says_nothing(self):
+    def test_report_made_before_start_is_ignored(self):
         """A late "warm" of the earlier start must not fill the new one."""
         self.report(2.0, age=1.5)
         self.assertFalse(self.state.warm)
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -100,7 +100,7 @@
         self.assertIn(cancel, late)
         self.assertTrue(scheduler.is_idle())
 
-    def test_no_new_work_for_what_leaves(self):
+    def test_no_new_work_for_leaving_endpoint(self):
         """From the catalogue on that says so, nothing is sent there."""
         for change in (
             {"data_centres": {"dc-1": models.Service.OUT}},
@@ -187,7 +187,7 @@
         again = self.send(scheduler, "r3", 1.0 + max(0.5, wait))
         self.assertEqual({}, get_refusals(again))
 
-    def test_times_to_come_back_spread_callers(self):
+    def test_retry_delays_are_spread(self):
         """A burst that is refused does not come back as a burst."""
         scheduler = core.Scheduler("a")
         waits = [
@@ -196,7 +196,7 @@
         ]
         self.assertGreater(max(waits) / min(waits), 1.4)
 
-    def test_failed_unsent_is_tried_again_and_sent_is_not(self):
+    def test_only_unsent_dispatch_is_retried(self):
         """Only what surely was not sent may be sent again."""
         scheduler = make_scheduler()
         self.send(scheduler, "r", 1.0)
@@ -255,7 +255,7 @@
         figures = self.run_load(loads.CAPACITY * 0.6, faults)
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
-    def test_cold_again_without_warning(self):
+    def test_restart_without_warning(self):
         """Engines start over under load; none gets more than it bears."""
         faults = tuple(
             loads.Fault(time=3 + n, kind=kind, target=f"engine-{n}", value=1)
@@ -263,7 +263,7 @@
         )
         self.run_load(loads.CAPACITY * 0.6, faults)
 
-    def test_long_work_lets_short_work_through(self):
+    def test_long_requests_do_not_delay_short_ones(self):
         """One in five is a long review; status reads don't wait for it."""
         figures = self.run_load(loads.CAPACITY * 0.6, mix=loads.LONG_SHARE)
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
--- a/tests/scheduler/test_ownership.py
+++ b/tests/scheduler/test_ownership.py
@@ -93,7 +93,7 @@
             models.ColdShare.UPPER_HALF, self.owners.get_cold_share(1.5)
         )
 
-    def test_own_leave_does_not_end_another_one(self):
+    def test_own_leave_keeps_another_leave(self):
         """Each instance speaks for itself only.
 
         Another one said that it leaves; then this one leaves and is back.
@@ -111,7 +111,7 @@
             {me, self.others[1]}, set(self.owners._get_eligible())
         )
 
-    def test_halves_without_one_authority(self):
+    def test_one_authority_gives_half(self):
         """Each authority alone gives its half."""
         self.assertEqual(
             models.ColdShare.NONE, self.owners.get_cold_share(1.0)
