--- a/tests/scheduler/test_budget.py
+++ b/tests/scheduler/test_budget.py
@@ -1,4 +1,4 @@
-"""What an endpoint in cold start gets, over random interleavings."""
+"""Tests of the endpoint budget, with random interleavings of events."""
 
 import hypothesis
 from hypothesis import stateful
@@ -35,12 +35,12 @@
 
 
 class EndpointOwnersMachine(stateful.RuleBasedStateMachine):
-    """Two instances and one endpoint, whose true state is kept here.
+    """Model of one endpoint and two instances that may own it.
 
-    The endpoint starts over, cold, at any moment; reports come late; the
-    right to send moves from one instance to the other, after the earlier
-    owner has lost it. The endpoint must never hold more than its cold
-    start bears, and must get no request twice.
+    The endpoint restarts cold at any time, its reports are delayed, and its
+    ownership moves between the instances, always after the earlier owner
+    has lost it. The endpoint must never exceed its cold-start capacity or
+    receive a request twice.
     """
 
     def __init__(self):
@@ -61,7 +61,7 @@
         self.assign("a")
 
     def deliver(self, name, event):
-        """Hand an event over and let the endpoint get what is sent."""
+        """Pass an event to a scheduler and carry out its actions."""
         for action in self.schedulers[name].handle(event, self.now):
             match action:
                 case models.Dispatch():
@@ -71,7 +71,7 @@
                     self.refused.add(action.request_id)
 
     def receive(self, name, request_id):
-        """The endpoint gets a request and must bear it."""
+        """Receive a request at the endpoint and check its capacity."""
         assert name == self.owner, "only the owner sends"
         assert request_id not in self.received, "sent twice"
         assert request_id not in self.refused, "sent after its answer"
@@ -83,7 +83,7 @@
             assert total <= SPEC.cold_prompt_tokens
 
     def assign(self, owner):
-        """The right to send goes to an instance."""
+        """Make an instance the owner of the endpoint."""
         self.owner = owner
         owners = {"engine-1": owner}
         for name in sorted(self.schedulers, key=lambda n: n == owner):
@@ -94,7 +94,7 @@
 
     @stateful.rule(tokens=strategies.integers(1, 1500))
     def send(self, tokens):
-        """A caller sends to the owner."""
+        """Send a new request to the owner."""
         self.count += 1
         name = f"r{self.count}"
         self.tokens[name] = tokens
@@ -114,7 +114,7 @@
 
     @stateful.rule()
     def finish(self):
-        """The oldest request inside ends; its sender is told."""
+        """Finish the oldest request in progress and report it."""
         if self.in_progress:
             request_id = next(iter(self.in_progress))
             name, _ = self.in_progress.pop(request_id)
@@ -123,7 +123,7 @@
 
     @stateful.rule()
     def cut_connection(self):
-        """A connection breaks, but the endpoint still works at it."""
+        """Break a connection while the endpoint keeps working on it."""
         if self.in_progress:
             request_id, (name, _) = next(iter(self.in_progress.items()))
             code = errors.Code.ENDPOINT_LOST
@@ -136,7 +136,7 @@
 
     @stateful.rule()
     def end_abandoned_request(self):
-        """The endpoint ends one whose sender is gone."""
+        """Finish one request at the endpoint whose sender has given up."""
         for request_id in list(self.in_progress):
             if request_id in self.refused:
                 del self.in_progress[request_id]
@@ -144,7 +144,7 @@
 
     @stateful.rule()
     def restart(self):
-        """All connections break; it comes back cold and empty."""
+        """Restart the endpoint, cold and empty; all connections break."""
         self.cold = True
         held, self.in_progress = self.in_progress, {}
         for name in self.schedulers:
@@ -161,18 +161,18 @@
 
     @stateful.rule()
     def warm_up(self):
-        """The cold start is over."""
+        """End the cold start."""
         self.cold = False
 
     @stateful.rule()
     def make_report(self):
-        """The endpoint writes a report, which is not there yet."""
+        """Make a report that has not arrived yet."""
         self.now += 0.1
         self.reports.append((self.now, len(self.in_progress), self.cold))
 
     @stateful.rule(lag=strategies.floats(0.01, 5.0))
     def apply_oldest_report(self, lag):
-        """The oldest report comes, late."""
+        """Deliver the oldest report, with a delay."""
         if not self.reports:
             return
         made, running, cold = self.reports.pop(0)
@@ -188,13 +188,13 @@
 
     @stateful.rule()
     def change_owner(self):
-        """The other instance takes the endpoint over."""
+        """Move the ownership to the other instance."""
         self.now += 0.1
         self.assign("b" if self.owner == "a" else "a")
 
     @stateful.rule(seconds=strategies.floats(0.01, 3.0))
     def pass_time(self, seconds):
-        """Time goes on."""
+        """Advance the time."""
         self.now += seconds
         for name in self.schedulers:
             self.deliver(name, models.TimePassed())
@@ -204,27 +204,27 @@
 
 
 class BudgetMachineTest(EndpointOwnersMachine.TestCase):
-    """Runs the machine."""
+    """Runs the state machine."""
 
 
 class WarmEvidenceTest(testtools.TestCase):
-    """Which reports count as evidence of warmth."""
+    """Tests of which reports count as evidence of warmth."""
 
     def setUp(self):
-        """Take an endpoint over and connect."""
+        """Take over an endpoint and connect to it."""
         super().setUp()
         self.state = budget.make_state(SPEC, 0.0)
         budget.record_connection(self.state, 1.0)
 
     def report(self, now, age, *, cold=False, running=0):
-        """Bring a report."""
+        """Apply a load report."""
         report = models.LoadReport(
             running=running, queued=0, cold=cold, age=age
         )
         budget.apply_report(self.state, report, now)
 
     def test_report_made_before_start_is_ignored(self):
-        """A late "warm" of the earlier start must not fill the new one."""
+        """A delayed "warm" of an earlier start must not mark it warm."""
         self.report(2.0, age=1.5)
         self.assertFalse(self.state.warm)
         self.assertIsNone(self.state.foreign_count)
@@ -232,7 +232,7 @@
         self.assertTrue(self.state.warm)
 
     def test_work_of_an_earlier_owner_fills_the_budget(self):
-        """Nothing is sent until a young report counts what was left."""
+        """Nothing is sent until a new report counts foreign requests."""
         request = models.Request(
             request_id="r",
             entry="e",
@@ -250,17 +250,17 @@
 
 
 class NonStreamedAnswerTest(testtools.TestCase):
-    """An answer in one piece tells of its speed only at its end."""
+    """Tests of answers that are not streamed and only arrive at their end."""
 
     def setUp(self):
-        """Take an endpoint that was shown warm."""
+        """Connect to an endpoint that reports itself warm."""
         super().setUp()
         self.state = budget.make_state(SPEC, 0.0)
         budget.record_connection(self.state, 0.0)
         self.report(1.0)
 
     def report(self, now):
-        """Let a report come that says warm."""
+        """Apply a report that says warm."""
         running = len(self.state.running)
         report = models.LoadReport(
             running=running, queued=0, cold=False, age=0.1
@@ -268,7 +268,7 @@
         budget.apply_report(self.state, report, now)
 
     def send(self, number, now):
-        """Send a request for an answer in one piece, if it may start."""
+        """Send a request that is not streamed, if it may start."""
         request = models.Request(
             request_id=str(number),
             entry="entry",
@@ -286,10 +286,11 @@
         return True
 
     def test_long_answer_is_no_sign_of_a_cold_start(self):
-        """Seen as an endpoint fed as if cold, and taken for slow.
+        """A long answer must not make its endpoint count as cold or slow.
 
-        A caller that does not stream waits ten seconds for 350 tokens at
-        the endpoint's usual speed. Its first piece is its last.
+        An answer of 350 tokens takes ten seconds at the endpoint's usual
+        speed. If it is not streamed, it arrives all at once, and would look
+        overdue if it were expected like a first token.
         """
         self.assertTrue(self.send(1, 2.0))
         self.assertFalse(budget.has_overdue_first_token(self.state, 9.0))
@@ -299,7 +300,7 @@
         self.assertLess(self.state.decode_rate, 100.0)
 
     def test_reports_end_a_slow_start(self):
-        """Long answers alone do not keep an idle endpoint nearly idle."""
+        """Reports raise the limit while long answers are in progress."""
         sent = 0
         for step in range(8):
             now = 5.0 + step * 0.5
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -1,4 +1,4 @@
-"""The outcome of the decisions for callers."""
+"""Tests of what the scheduler's decisions mean for callers."""
 
 import dataclasses
 
@@ -22,7 +22,7 @@
 
 
 def make_request(name, **changes):
-    """Return a request that any endpoint can serve at once."""
+    """Return a request that an idle endpoint can serve at once."""
     fields = {
         "request_id": name,
         "entry": "entry",
@@ -68,7 +68,7 @@
 
 
 def get_refusals(actions):
-    """Return code by request."""
+    """Return the refusal codes by request id."""
     return {
         a.request_id: a.refusal.code
         for a in actions
@@ -77,18 +77,18 @@
 
 
 class OutcomeTest(testtools.TestCase):
-    """What single requests get."""
+    """Tests of the outcome of single requests."""
 
     def send(self, scheduler, name, now, **changes):
-        """Have a request arrive."""
+        """Send a request to a scheduler; return the actions."""
         request = make_request(name, **changes)
         return scheduler.handle(models.RequestArrived(request=request), now)
 
     def test_deadline_of_a_running_request(self):
-        """Its caller is told and its work stopped in the same step.
+        """A running request is refused and cancelled at its deadline.
 
-        The answer comes too late: the caller gets "outcome unknown" at
-        the deadline, and the endpoint's place is free for the next one.
+        Both happen in the same step: the caller gets "outcome unknown", and
+        the endpoint has room for the next request.
         """
         scheduler = make_scheduler()
         sent = self.send(scheduler, "r", 1.0, deadline=5.0)
@@ -101,7 +101,7 @@
         self.assertTrue(scheduler.is_idle())
 
     def test_no_new_work_for_leaving_endpoint(self):
-        """From the catalogue on that says so, nothing is sent there."""
+        """Nothing is sent to an endpoint that the catalogue takes out."""
         for change in (
             {"data_centres": {"dc-1": models.Service.OUT}},
             {
@@ -120,7 +120,7 @@
             self.assertEqual({"r": code}, get_refusals(got))
 
     def test_late_start_is_refused_while_nothing_lower_is_served(self):
-        """Work ahead that ends after the deadline: "not run" at once."""
+        """A request that cannot finish in time is refused at once."""
         slow = dataclasses.replace(ENGINE, prefill_rate=10.0)
         scheduler = make_scheduler(slow)
         got = self.send(scheduler, "r", 1.0, deadline=3.0)
@@ -129,7 +129,7 @@
         self.assertGreater(got[0].refusal.retry_after, 0)
 
     def test_not_refused_while_a_lower_tier_is_served_elsewhere(self):
-        """The same request waits as long as the others run a lower one."""
+        """The same request waits while another instance runs a lower tier."""
         slow = dataclasses.replace(ENGINE, prefill_rate=10.0)
         scheduler = make_scheduler(slow)
         summary = models.InstanceSummary(
@@ -140,7 +140,7 @@
         self.assertEqual({}, get_refusals(got))
 
     def test_pressure_elsewhere_stops_lower_tiers(self):
-        """Another instance's floor holds here: tier 3 waits, 1 starts."""
+        """The floor 1 of another instance lets tier 1 start, but not 3."""
         scheduler = make_scheduler()
         summary = models.InstanceSummary(instance="b", version=1, floor=1)
         scheduler.handle(models.InstanceReported(summary=summary), 1.0)
@@ -149,7 +149,7 @@
         self.assertEqual(["high"], [a.request_id for a in high])
 
     def test_small_workspace_is_next(self):
-        """A workspace with one request waits behind one of the other's."""
+        """A small workspace waits for at most one request of a large one."""
         scheduler = make_scheduler(dataclasses.replace(ENGINE, concurrency=1))
         for number in range(6):
             self.send(scheduler, f"big-{number}", 1.0)
@@ -166,7 +166,7 @@
         self.assertIn("small", order[:2])
 
     def test_limits_count_the_other_instances(self):
-        """Two in progress elsewhere leave one of three."""
+        """Two requests in progress elsewhere leave one of a limit of three."""
         scheduler = make_scheduler(limits=models.Limits(concurrency=3))
         summary = models.InstanceSummary(
             instance="b", version=1, usage={"entry": 2}
@@ -177,7 +177,7 @@
         self.assertEqual({"r2": errors.Code.CONCURRENCY_LIMIT}, got)
 
     def test_rate_limit_refills(self):
-        """Two a second: the third at once is told when to come back."""
+        """At two requests per second, the third gets a retry delay."""
         limits = models.Limits(requests_per_second=2.0)
         scheduler = make_scheduler(limits=limits)
         refused = [self.send(scheduler, f"r{n}", 1.0) for n in range(3)][2]
@@ -188,7 +188,7 @@
         self.assertEqual({}, get_refusals(again))
 
     def test_retry_delays_are_spread(self):
-        """A burst that is refused does not come back as a burst."""
+        """The callers of a refused burst must not retry as a burst."""
         scheduler = core.Scheduler("a")
         waits = [
             self.send(scheduler, f"r{n}", 0.0)[0].refusal.retry_after
@@ -197,7 +197,7 @@
         self.assertGreater(max(waits) / min(waits), 1.4)
 
     def test_only_unsent_dispatch_is_retried(self):
-        """Only what surely was not sent may be sent again."""
+        """Only a request that was certainly not sent may be sent again."""
         scheduler = make_scheduler()
         self.send(scheduler, "r", 1.0)
         unsent = models.DispatchFailed(request_id="r", sent=False)
@@ -208,7 +208,7 @@
         self.assertEqual({"r": errors.Code.ENDPOINT_LOST}, get_refusals(got))
 
     def test_unsent_dispatches_are_bounded(self):
-        """An endpoint that refuses each connection is not asked for ever."""
+        """An endpoint that refuses each connection is not tried forever."""
         scheduler = make_scheduler()
         got = self.send(scheduler, "r", 1.0)
         unsent = models.DispatchFailed(request_id="r", sent=False)
@@ -221,10 +221,10 @@
 
 
 class LoadTest(testtools.TestCase):
-    """Short loads on the virtual clock."""
+    """Tests with short simulated loads on a virtual clock."""
 
     def run_load(self, rate, faults=(), **options):
-        """Return the figures of a load of twenty seconds."""
+        """Return the figures of a load that lasts twenty seconds."""
         arrivals = loads.draw(7, lambda t: rate, seconds=20.0, **options)
         load = loads.Load(name="test", arrivals=arrivals, faults=faults)
         site = site_module.Site(load)
@@ -237,17 +237,17 @@
         return figures
 
     def get_goodput_fraction(self, figures, tier):
-        """Return goodput over what was offered."""
+        """Return the goodput of a tier as a fraction of its offered load."""
         good = figures["goodput_by_tier"][tier]
         return good / figures["offered_by_tier"][tier]
 
     def test_top_tier_through_saturation(self):
-        """At twice the capacity, status reads are answered in time."""
+        """The top tier is answered in time at twice the capacity."""
         figures = self.run_load(loads.CAPACITY * 2)
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
     def test_top_tier_through_a_data_centre_change(self):
-        """A data centre leaves and comes back cold."""
+        """The top tier is answered while a data centre restarts cold."""
         faults = (
             loads.Fault(time=5, kind="dc_out", target="dc-2"),
             loads.Fault(time=10, kind="dc_in", target="dc-2"),
@@ -256,7 +256,7 @@
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
     def test_restart_without_warning(self):
-        """Engines start over under load; none gets more than it bears."""
+        """Engines that restart under load are never overloaded."""
         faults = tuple(
             loads.Fault(time=3 + n, kind=kind, target=f"engine-{n}", value=1)
             for n, kind in enumerate(("restart", "cold") * 5)
@@ -264,6 +264,6 @@
         self.run_load(loads.CAPACITY * 0.6, faults)
 
     def test_long_requests_do_not_delay_short_ones(self):
-        """One in five is a long review; status reads don't wait for it."""
+        """Status reads are not delayed by a fifth of long reviews."""
         figures = self.run_load(loads.CAPACITY * 0.6, mix=loads.LONG_SHARE)
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
--- a/tests/scheduler/test_example.py
+++ b/tests/scheduler/test_example.py
@@ -1,4 +1,4 @@
-"""The example of driving the package works as shown."""
+"""Test of the scheduler example in the documentation."""
 
 import doctest
 import pathlib
@@ -9,10 +9,10 @@
 
 
 class ExampleTest(testtools.TestCase):
-    """Runs the page's example."""
+    """Runs the example of the page as a doctest."""
 
     def test_example(self):
-        """Each line gives what the page says."""
+        """Each line of the example gives the documented result."""
         outcome = doctest.testfile(str(PAGE), module_relative=False)
         self.assertGreater(outcome.attempted, 10)
         self.assertEqual(0, outcome.failed)
--- a/tests/scheduler/test_ownership.py
+++ b/tests/scheduler/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of who may send to an endpoint."""
+"""Tests of endpoint ownership."""
 
 import hypothesis
 from hypothesis import stateful
@@ -21,10 +21,10 @@
 
 
 class OwnershipTest(testtools.TestCase):
-    """One owner at a time, and a wait between two."""
+    """Tests of the rights of one owner among three instances."""
 
     def setUp(self):
-        """Make the first of three instances."""
+        """Create the instance that ranks first of three."""
         super().setUp()
         first = ownership.rank_instances("engine", NAMES)[0]
         self.others = [name for name in NAMES if name != first]
@@ -39,7 +39,7 @@
             self.owners.record_contact(name, now, 1)
 
     def test_new_owner_waits_for_idle_endpoint(self):
-        """An earlier owner's lease and work must be over first."""
+        """A new owner waits until the earlier lease and work have ended."""
         self.confirm(7.0)
         self.owners.record_idle("engine", 3.5)
         self.assertFalse(self.owners.may_send_cold("engine", 7.0))
@@ -47,7 +47,7 @@
         self.assertTrue(self.owners.may_send_cold("engine", 7.0))
 
     def test_release_ends_the_wait(self):
-        """The earlier owner says that it has nothing more there."""
+        """A release by the earlier owner lets the new one send at once."""
         self.confirm(1.0)
         self.owners.record_release("engine")
         self.assertTrue(self.owners.may_send_cold("engine", 1.0))
@@ -55,16 +55,16 @@
     def test_lease_runs_out_in_a_stopped_process(self):
         """No send to a cold start after a pause longer than the lease.
 
-        The process is stopped after it decided and wakes seconds later.
-        A new owner may feed the cold start by then; without the check the
-        endpoint would get both and fall over.
+        A process is paused after its decision and resumes seconds later. By
+        then a new owner may send to the cold endpoint, which would crash
+        under the requests of both.
         """
         self.confirm(1.0)
         self.owners.record_release("engine")
         self.assertFalse(self.owners.may_send_cold("engine", 4.1))
 
     def test_announced_leave_gives_no_right_to_a_cold_start(self):
-        """Only the list does; an announcement may reach some only."""
+        """Only the list gives it: an announcement may not reach everyone."""
         second = ownership.rank_instances("engine", NAMES)[1]
         owners = ownership.Ownership(second, 0.0)
         owners.update_endpoints({"engine": "dc-1"}, 0.0)
@@ -77,10 +77,10 @@
         self.assertFalse(owners.may_send_cold("engine", 10.0))
 
     def test_answer_under_another_list_is_no_contact(self):
-        """All peers must stand behind the list by which this one owns.
+        """Only answers under the same list version count as contacts.
 
-        A peer that answers by a newer list may know of another owner; one
-        that answered before the list changed has not seen the change.
+        A peer with a newer list may know another owner; a peer that answered
+        before the list changed has not seen the change.
         """
         for name in self.others:
             self.owners.record_contact(name, 1.0, 2)
@@ -94,11 +94,11 @@
         )
 
     def test_own_leave_keeps_another_leave(self):
-        """Each instance speaks for itself only.
+        """An instance's return must not end the leave of another one.
 
-        Another one said that it leaves; then this one leaves and is back.
-        Taken as one set, the second word ended the first, and work was
-        forwarded to an instance that refuses it.
+        Another instance announces its leave; then this one leaves and
+        returns. If the announcement of one instance replaced that of the
+        other, work would be forwarded to an instance that refuses it.
         """
         name = self.others[0]
         self.owners.update_leaving(name, True, 0.0)
@@ -112,7 +112,7 @@
         )
 
     def test_one_authority_gives_half(self):
-        """Each authority alone gives its half."""
+        """One authority alone gives its half of the cold-start capacity."""
         self.assertEqual(
             models.ColdShare.NONE, self.owners.get_cold_share(1.0)
         )
@@ -130,11 +130,11 @@
 
 
 class ColdBudgetMachine(stateful.RuleBasedStateMachine):
-    """A cold endpoint, three instances, and everything that can go wrong.
+    """Model of a cold endpoint and three instances with random faults.
 
-    Instances are cut off from the platform and from each other, stopped
-    and woken, replaced, taken off the list and put back. Whatever the
-    order, the endpoint never holds more than it bears.
+    Instances lose the platform and each other, are paused and resumed,
+    replaced, and removed from the list and added again. In any order, the
+    endpoint must never exceed its cold-start concurrency.
     """
 
     def __init__(self):
@@ -158,7 +158,7 @@
         return view
 
     def receive_list(self, name, version, names):
-        """Give one instance a list, if it is newer."""
+        """Pass a list to an instance if it is newer than its own."""
         if version > self.versions[name]:
             self.versions[name] = version
             self.views[name].update_members(
@@ -167,7 +167,7 @@
             self.lists = {**getattr(self, "lists", {}), version: names}
 
     def exchange_messages(self):
-        """Let everybody who can ask the platform and each other."""
+        """Let running instances contact the platform and each other."""
         awake = [name for name in NAMES if name not in self.stopped]
         for name in awake:
             if name in self.platform_reachable:
@@ -182,7 +182,7 @@
                 self.views[name].record_idle("engine", self.now)
 
     def contact(self, asking, answering):
-        """Let one instance hear of another."""
+        """Let one instance contact another, if the link is up."""
         if (
             asking == answering
             or frozenset({asking, answering}) in self.broken_links
@@ -195,7 +195,7 @@
 
     @stateful.rule(seconds=strategies.sampled_from([1.0, 4.0, 7.0]))
     def pass_time(self, seconds):
-        """Let time pass, with exchanges as often as they come."""
+        """Advance the time, with an exchange every half second."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.5
@@ -203,36 +203,36 @@
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def toggle_platform(self, name):
-        """Cut an instance off from the platform, or heal it."""
+        """Break or restore an instance's connection to the platform."""
         self.platform_reachable ^= {name}
 
     @stateful.rule(pair=strategies.sampled_from([(0, 1), (0, 2), (1, 2)]))
     def toggle_link(self, pair):
-        """Cut the link of two instances, or heal it."""
+        """Break or restore the link between two instances."""
         self.broken_links ^= {frozenset(NAMES[i] for i in pair)}
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def toggle_stop(self, name):
-        """Stop a process, or wake it."""
+        """Pause or resume a process."""
         self.stopped ^= {name}
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def replace(self, name):
-        """Kill a process and start another under its name."""
+        """Kill a process and start another one under its name."""
         self.stopped.discard(name)
         self.in_progress[name] = 0
         self.views[name] = self.start(name)
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def toggle_listed(self, name):
-        """Take an instance off the platform's list, or put it back."""
+        """Remove an instance from the platform's list, or add it again."""
         if self.listed != {name}:
             self.listed ^= {name}
             self.version += 1
 
     @stateful.rule()
     def send(self):
-        """Let all that run send as much as they believe they may."""
+        """Let each running instance send as much as it may by its view."""
         for name, view in self.views.items():
             share = budget.get_share(
                 COLD_CONCURRENCY, view.get_cold_share(self.now)
@@ -251,7 +251,7 @@
 
     @stateful.invariant()
     def stays_within_cold_concurrency(self):
-        """The endpoint never holds more than it bears."""
+        """Check that the cold-start concurrency is not exceeded."""
         assert sum(self.in_progress.values()) <= COLD_CONCURRENCY, (
             self.in_progress
         )
@@ -267,4 +267,4 @@
 
 
 class ColdBudgetTest(ColdBudgetMachine.TestCase, testtools.TestCase):
-    """Runs the machine over fixed random orders."""
+    """Runs the state machine on fixed random sequences."""
