--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -172,15 +172,18 @@
 
     def record_release(self, endpoint: str) -> None:
         """Record that the earlier owner has no more work at an endpoint."""
-        held = self._owned.get(endpoint)
-        if held is not None and held.owner_by_list:
-            held.released = True
+        owned = self._owned.get(endpoint)
+        if owned is not None and owned.owner_by_list:
+            owned.released = True
 
     def record_idle(self, endpoint: str, seen_at: float) -> None:
         """Record that an endpoint was idle at a clock time."""
-        held = self._owned.get(endpoint)
-        if held is not None and seen_at > held.owned_since + TAKEOVER_SECONDS:
-            held.seen_idle = True
+        owned = self._owned.get(endpoint)
+        if (
+            owned is not None
+            and seen_at > owned.owned_since + TAKEOVER_SECONDS
+        ):
+            owned.seen_idle = True
 
     def find_owner(self, endpoint: str) -> str | None:
         """Return the owner of an endpoint as this instance sees it."""
@@ -190,8 +193,8 @@
         """Return the ownership in force now, as a scheduler event."""
         suspended = frozenset(
             name
-            for name, held in self._owned.items()
-            if not self._may_use_cold(held, now)
+            for name, owned in self._owned.items()
+            if not self._may_use_cold(owned, now)
         )
         return models.OwnershipChanged(
             owned=frozenset(self._owned),
@@ -202,15 +205,15 @@
 
     def get_cold_share(self, now: float) -> models.ColdShare:
         """Return the share of the cold-start capacity that may be used."""
-        platform = now - self._platform_confirmed_at <= LEASE_SECONDS
+        platform_confirmed = now - self._platform_confirmed_at <= LEASE_SECONDS
         if self._instance not in self._members:
-            platform = False
-        peers = self._has_recent_contact_with_all(now)
-        if platform and peers:
+            platform_confirmed = False
+        peers_confirmed = self._has_recent_contact_with_all(now)
+        if platform_confirmed and peers_confirmed:
             return models.ColdShare.ALL
-        if platform:
+        if platform_confirmed:
             return models.ColdShare.UPPER_HALF
-        if peers:
+        if peers_confirmed:
             return models.ColdShare.LOWER_HALF
         return models.ColdShare.NONE
 
@@ -220,8 +223,8 @@
         Checked after the last point at which the sender can block, so that
         a process that was paused there finds its lease expired.
         """
-        held = self._owned.get(endpoint)
-        if held is None or not self._may_use_cold(held, now):
+        owned = self._owned.get(endpoint)
+        if owned is None or not self._may_use_cold(owned, now):
             return False
         return self.get_cold_share(now) != models.ColdShare.NONE
 
@@ -234,12 +237,12 @@
             if name != self._instance
         )
 
-    def _may_use_cold(self, held: _OwnedEndpoint, now: float) -> bool:
-        if not held.owner_by_list:
+    def _may_use_cold(self, owned: _OwnedEndpoint, now: float) -> bool:
+        if not owned.owner_by_list:
             return False
-        if held.released:
+        if owned.released:
             return True
-        return held.seen_idle and now > held.owned_since + TAKEOVER_SECONDS
+        return owned.seen_idle and now > owned.owned_since + TAKEOVER_SECONDS
 
     def _get_eligible(self) -> dict[str, Member]:
         return {
@@ -272,35 +275,37 @@
         # Copied, since the mapping was handed out: a change in place would
         # hide from its receiver that an owner changed.
         self._owners = dict(self._owners)
-        eligible = _group(self._get_eligible())
-        listed = _group(self._members)
+        eligible = _group_by_data_centre(self._get_eligible())
+        listed = _group_by_data_centre(self._members)
         for endpoint in endpoints:
             centre = self._endpoints[endpoint]
-            owner = _choose(endpoint, centre, eligible)
+            owner = _choose_owner(endpoint, centre, eligible)
             if owner is None:
                 self._owners.pop(endpoint, None)
                 self._owned.pop(endpoint, None)
                 continue
             self._owners[endpoint] = owner
-            owner_by_list = _choose(endpoint, centre, listed) == self._instance
+            owner_by_list = (
+                _choose_owner(endpoint, centre, listed) == self._instance
+            )
             self._update_owned(
                 endpoint, owner == self._instance, owner_by_list, now
             )
 
     def _update_owned(
-        self, endpoint: str, owned: bool, owner_by_list: bool, now: float
+        self, endpoint: str, is_owner: bool, owner_by_list: bool, now: float
     ) -> None:
-        if not owned:
+        if not is_owner:
             self._owned.pop(endpoint, None)
             return
-        held = self._owned.get(endpoint)
-        if held is None or held.owner_by_list != owner_by_list:
+        owned = self._owned.get(endpoint)
+        if owned is None or owned.owner_by_list != owner_by_list:
             self._owned[endpoint] = _OwnedEndpoint(
                 owner_by_list=owner_by_list, owned_since=now
             )
 
 
-def _group(members: dict[str, Member]) -> dict[str, list[str]]:
+def _group_by_data_centre(members: dict[str, Member]) -> dict[str, list[str]]:
     groups: dict[str, list[str]] = {}
     for name, member in members.items():
         groups.setdefault(member.data_centre, []).append(name)
@@ -317,10 +322,10 @@
         centre: name of its data centre.
         members: instances in service, by name.
     """
-    return _choose(endpoint, centre, _group(members))
+    return _choose_owner(endpoint, centre, _group_by_data_centre(members))
 
 
-def _choose(
+def _choose_owner(
     endpoint: str, centre: str, groups: dict[str, list[str]]
 ) -> str | None:
     names = groups.get(centre)
--- a/citronport/scheduler/pressure.py
+++ b/citronport/scheduler/pressure.py
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self._floor = LOWEST_TIER
-        self._pressed_at = 0.0
+        self._last_pressure_at = 0.0
         self._raised_at = -math.inf
         self._doublings = 0
         self._peers: dict[str, tuple[models.InstanceSummary, float]] = {}
@@ -88,15 +88,15 @@
         if starved_tier is not None and starved_tier <= self._floor:
             if starved_tier < self._floor:
                 self._lower_floor(starved_tier, now)
-            self._pressed_at = now
+            self._last_pressure_at = now
             return
         if (
             self._floor < LOWEST_TIER
-            and now - self._pressed_at >= self._get_hold_seconds()
+            and now - self._last_pressure_at >= self._get_hold_seconds()
         ):
             self._floor += 1
             self._raised_at = now
-            self._pressed_at = now
+            self._last_pressure_at = now
 
     def _lower_floor(self, floor: int, now: float) -> None:
         self._floor = floor
