--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -21,8 +21,8 @@
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import events
-from citronport.relay import fleet as fleet_module
 from citronport.relay import follower as follower_module
+from citronport.relay import gossip as gossip_module
 from citronport.relay import jobs
 from citronport.relay import leasing as leasing_module
 from citronport.relay import listeners
@@ -30,7 +30,7 @@
 from citronport.relay import messages
 from citronport.relay import metrics
 from citronport.relay import mirror as mirror_module
-from citronport.relay import news as news_module
+from citronport.relay import replication as replication_module
 from citronport.relay import reports
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries
@@ -109,7 +109,7 @@
         )
         self.follower = follower_module.Follower(
             store_client.Client(
-                str(settings.store), follower_module.ANSWER_SECONDS
+                str(settings.store), follower_module.ANSWER_TIMEOUT_SECONDS
             ),
             self.mirror,
             ticker,
@@ -153,7 +153,7 @@
             self.limits,
             self.reports.make,
         )
-        self.fleet = fleet_module.Fleet(
+        self.gossip = gossip_module.Gossip(
             settings,
             self.members,
             ticker,
@@ -163,7 +163,7 @@
             self.summaries,
             self._log,
         )
-        self.news = news_module.News(
+        self.replication = replication_module.Replication(
             settings,
             self.members,
             self.mirror,
@@ -181,7 +181,7 @@
             self.board,
             self.health,
             self.is_ready,
-            self.fleet.tell,
+            self.gossip.send_lease_message,
             ticker,
             self._log,
         )
@@ -202,10 +202,13 @@
             ),
             self.quotas,
             lambda: self.members.compute_reach(ticker.now()),
-            lambda: max(fleet_module.REPORT_SECONDS, self.members.get_lag()),
+            lambda: max(
+                gossip_module.REPORT_SECONDS,
+                self.members.get_propagation_seconds(),
+            ),
             lambda: self._leaving,
             lambda: self._closing,
-            lambda: ticker.now() - self.follower.answered,
+            lambda: ticker.now() - self.follower.answered_at,
             self._is_meeting,
             ticker,
         )
@@ -224,8 +227,8 @@
                 incarnation=self._incarnation, version=const.VERSION
             )
         )
-        self.fleet.open()
-        self.news.open()
+        self.gossip.open()
+        self.replication.open()
         servers = self._make_servers()
         for server in servers:
             server.start()
@@ -240,7 +243,7 @@
             return
         self._leaving = True
         self._log.write(events.Leaving(requests=self.application.running))
-        self.fleet.send(self.reports.make())
+        self.gossip.send_report(self.reports.make())
         self._stopped.set()
 
     def reload(self) -> None:
@@ -255,8 +258,8 @@
                 )
             case result.Ok(settings):
                 self._settings = settings
-                self.fleet.use(settings)
-                self.reports.use(settings)
+                self.gossip.update_settings(settings)
+                self.reports.update_settings(settings)
                 self._budgets.clear()
                 self._log.write(
                     events.SettingsReloaded(accepted=True, detail="")
@@ -288,7 +291,7 @@
         """
         now = self._ticker.now()
         capacities = {
-            r.callers: r.capacity for r in self.members.list_usable(now)
+            r.caller_address: r.capacity for r in self.members.list_usable(now)
         }
         if self.is_ready():
             own = self._settings
@@ -328,10 +331,10 @@
     def _start_tasks(self) -> None:
         keep = self._tasks.keep
         keep("follower", self.follower.follow)
-        keep("receiver", self.fleet.receive)
-        keep("reporter", self.fleet.report_again_and_again)
-        keep("envoy", self.fleet.summarize_again_and_again)
-        keep("catch-up", self.news.catch_up)
+        keep("receiver", self.gossip.receive)
+        keep("reporter", self.gossip.report_forever)
+        keep("envoy", self.gossip.summarize_forever)
+        keep("catch-up", self.replication.catch_up)
         keep("dispatcher", self.dispatcher.kick_again_and_again)
         keep("renewer", self.leasing.renew_again_and_again)
         keep("sweeper", self._sweep_again_and_again)
@@ -347,7 +350,7 @@
             if not self.application.running and self._callers.is_idle():
                 break
             self._ticker.sleep(SWEEP_SECONDS)
-        self.news.close()
+        self.replication.close()
 
     def _sweep_again_and_again(self) -> None:
         while True:
@@ -367,15 +370,15 @@
                 self.reload()
 
     def _take_report(self, report: messages.Report) -> None:
-        self.reports.take(report)
+        self.reports.apply(report)
         self.dispatcher.kick()
 
-    def _take_leasing(self, message: messages.Leasing) -> None:
+    def _take_leasing(self, message: messages.LeaseMessage) -> None:
         self.leasing.take(message)
 
     def _rest(self) -> float | None:
         now = self._ticker.now()
-        return follower_module.rest(
+        return follower_module.compute_standby_age(
             self._settings.instance,
             self.members.list_known(now),
             [r.store_seconds for r in self.members.list_fresh(now)],
@@ -387,15 +390,15 @@
         return self._settings.instance in readers
 
     def _take_store_news(self, news: list[wire_models.Item]) -> None:
-        self._take_news(news, self.follower.returned)
-        self.fleet.tell_news()
+        self._take_news(news, self.follower.recovered_at)
+        self.gossip.announce_changes()
 
     def _take_news(
         self, news: list[wire_models.Item], returned: float
     ) -> None:
         now = self._ticker.now()
-        self.follower.returned = max(self.follower.returned, returned)
-        self.world.apply(news, now, self.follower.returned)
+        self.follower.recovered_at = max(self.follower.recovered_at, returned)
+        self.world.apply(news, now, self.follower.recovered_at)
         self._callers.connections.limits = listeners.make_limits(
             self._settings, self.world.configuration
         )
@@ -414,16 +417,16 @@
             peers=len(fresh),
             known=len(self.members.list_known(now)),
             configuration=configuration.version if configuration else 0,
-            store_seconds=now - self.follower.answered,
+            store_seconds=now - self.follower.answered_at,
             store_revision=self.mirror.revision,
             store_calls=self.follower.calls,
             store_failures=self.follower.failures,
             summaries_made=self.summaries.made,
             summaries_taken=self.summaries.taken,
-            news_taken=self.news.taken,
-            news_failed=self.news.failed,
-            news_received=self.news.received,
-            news_behind_seconds=self.news.get_behind_seconds(),
+            news_taken=self.replication.taken,
+            news_failed=self.replication.failed,
+            news_received=self.replication.received,
+            news_behind_seconds=self.replication.get_behind_seconds(),
             endpoints=len(self.world.endpoints),
             cold=sum(
                 self.cold.is_cold(name, now) for name in self.world.endpoints
--- a/citronport/relay/eventlog.py
+++ b/citronport/relay/eventlog.py
@@ -39,7 +39,7 @@
         self._descriptor = descriptor
         self._second = 0
         self._written = 0
-        self._rest = b""
+        self._unsent = b""
         self.dropped: collections.Counter[str] = collections.Counter()
         # A reader that stops reading must not stop the instance.
         flags = fcntl.fcntl(descriptor, fcntl.F_GETFL)
@@ -52,14 +52,14 @@
         if int(now) != self._second:
             self._second = int(now)
             self._written = 0
-            self._tell_dropped(now)
+            self._write_dropped(now)
         if self._written >= LINES_PER_SECOND:
             self.dropped[name] += 1
             return
         self._written += 1
-        self._put(event, name, now)
+        self._write_line(event, name, now)
 
-    def _tell_dropped(self, now: float) -> None:
+    def _write_dropped(self, now: float) -> None:
         if not self.dropped:
             return
         counts = dict(self.dropped)
@@ -67,9 +67,9 @@
         event = events.LinesDropped(
             count=sum(counts.values()), by_event=counts
         )
-        self._put(event, get_event_name(events.LinesDropped), now)
+        self._write_line(event, get_event_name(events.LinesDropped), now)
 
-    def _put(self, event: object, name: str, now: float) -> None:
+    def _write_line(self, event: object, name: str, now: float) -> None:
         fields = {
             field.name: _shorten(getattr(event, field.name))
             for field in dataclasses.fields(event)  # type: ignore[arg-type]
@@ -85,20 +85,20 @@
         if not self._flush():
             self.dropped[name] += 1
             return
-        self._rest = data
+        self._unsent = data
         self._flush()
 
     def _flush(self) -> bool:
-        while self._rest:
+        while self._unsent:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unsent)
             except BlockingIOError:
                 return False
             except OSError:
                 # Nobody will ever read; there is nobody to tell either.
-                self._rest = b""
+                self._unsent = b""
                 return True
-            self._rest = self._rest[written:]
+            self._unsent = self._unsent[written:]
         return True
 
 
--- a/citronport/relay/explanation.py
+++ b/citronport/relay/explanation.py
@@ -27,7 +27,7 @@
     )
 )
 
-_TIGHT_SHARE = 0.5
+_DOMINANT_SHARE = 0.5
 """Part of the time to the first byte from which a step counts as cause."""
 
 Line = dict[str, Any]
@@ -45,7 +45,7 @@
     """
 
     request: str
-    way: tuple[Line, ...]
+    request_lines: tuple[Line, ...]
     context: tuple[Line, ...]
     cause: str
 
@@ -69,19 +69,19 @@
                 lines += filter(None, map(parse_line, file))
         except OSError as error:
             return result.Err(f"{path}: {error.strerror}")
-    way = [line for line in lines if line.get("request") == request]
-    if not way:
+    request_lines = [line for line in lines if line.get("request") == request]
+    if not request_lines:
         return result.Err(
             f"no line of request {request}: it reached none of these "
             "instances, or its lines were dropped (see lines_dropped)"
         )
-    way.sort(key=lambda line: line["at"])
+    request_lines.sort(key=lambda line: line["at"])
     return result.Ok(
         Explanation(
             request=request,
-            way=tuple(way),
-            context=tuple(_find_context(lines, way)),
-            cause=_find_cause(way),
+            request_lines=tuple(request_lines),
+            context=tuple(_find_context(lines, request_lines)),
+            cause=_find_cause(request_lines),
         )
     )
 
@@ -102,7 +102,7 @@
 def render(explanation: Explanation) -> str:
     """Return an explanation as text for people."""
     rows = [f"request {explanation.request}", "", "its way:"]
-    rows += [_render_line(line) for line in explanation.way]
+    rows += [_render_line(line) for line in explanation.request_lines]
     rows += ["", f"on the same instance, from {CONTEXT_SECONDS:g} s before:"]
     rows += [_render_line(line) for line in explanation.context] or ["  -"]
     rows += ["", f"cause: {explanation.cause}"]
@@ -110,10 +110,13 @@
 
 
 def _find_context(
-    lines: list[Line], way: list[Line]
+    lines: list[Line], request_lines: list[Line]
 ) -> collections.abc.Iterator[Line]:
-    first, last = way[0]["at"] - CONTEXT_SECONDS, way[-1]["at"]
-    instance = way[0]["instance"]
+    first, last = (
+        request_lines[0]["at"] - CONTEXT_SECONDS,
+        request_lines[-1]["at"],
+    )
+    instance = request_lines[0]["instance"]
     near = [
         line
         for line in lines
@@ -134,12 +137,12 @@
     return f"{head} {fields}"
 
 
-def _find_cause(way: list[Line]) -> str:
-    refused = [x for x in way if x["event"] == "request_refused"]
+def _find_cause(request_lines: list[Line]) -> str:
+    refused = [x for x in request_lines if x["event"] == "request_refused"]
     if refused:
         return _explain_refusal(refused[-1])
-    ended = [x for x in way if x["event"] == "request_ended"]
-    failed = [x for x in way if x["event"] == "send_failed"]
+    ended = [x for x in request_lines if x["event"] == "request_ended"]
+    failed = [x for x in request_lines if x["event"] == "send_failed"]
     if not ended:
         return (
             "the instance ended before the request did: see whether it was "
@@ -154,11 +157,11 @@
                 f"{end['status']} after {end['attempts']} sends{what}"
             )
         case "answered":
-            return _explain_time(end, way)
+            return _explain_time(end, request_lines)
         case "left":
             return (
                 f"the caller left after {end['seconds']:.2f} s, before the "
-                f"end of its answer ({_explain_time(end, way)})"
+                f"end of its answer ({_explain_time(end, request_lines)})"
             )
         case "cut":
             return (
@@ -180,15 +183,15 @@
     return cause
 
 
-def _explain_time(end: Line, way: list[Line]) -> str:
+def _explain_time(end: Line, request_lines: list[Line]) -> str:
     if end["first"] < 0:
         return f"no byte of an answer came{_explain_wait(end)}"
-    if end["waited"] > _TIGHT_SHARE * end["first"]:
+    if end["waited"] > _DOMINANT_SHARE * end["first"]:
         return (
             f"first byte after {end['first']:.2f} s, of which "
             f"{end['waited']:.2f} s in the queue: all places were taken"
         )
-    sent = [x for x in way if x["event"] == "request_sent"]
+    sent = [x for x in request_lines if x["event"] == "request_sent"]
     more = ""
     if sent:
         more = (
--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -20,36 +20,36 @@
 by an answer that stays out, so that a change is known three seconds after
 it at the latest; each call is counted against the store's rate."""
 
-READERS = 8
+READER_COUNT = 8
 """Instances of a large fleet that watch the store; the others hear of its
 changes from them. If all of them watched, each change would end hundreds
 of watches, which all count against the store's rate."""
 
-MIN_SOURCES = 3
+MIN_READERS = 3
 """Readers whose store answers, without which an instance asks the store
 itself: fewer may all be cut off before it is seen."""
 
-SOURCE_SECONDS = 3.0
+READER_FRESH_SECONDS = 3.0
 """Age of the store's newest answer up to which a reader counts as one: a
 watch and its answer take 2.8 s."""
 
-REST_SECONDS = 0.2
+STANDBY_POLL_SECONDS = 0.2
 """Pause between two looks of an instance that need not ask the store."""
 
-GATHER_SECONDS = 0.25
+BATCH_SECONDS = 0.25
 """Pause after news before the next watch: changes come in groups, as when
 all endpoints enter themselves, and each group then costs one call and not
 one for each change. Bounds on news are two seconds and more."""
 
-START_SECONDS = 5.0
+START_PHASE_SECONDS = 5.0
 """Age up to which an instance counts as one that has just started."""
 
-START_GATHER_SECONDS = 0.8
+START_BATCH_SECONDS = 0.8
 """The same pause for one that has just started. Until it knows who reads
 the store for it, every instance of a large fleet watches by itself, and
 would ask again with each of many changes."""
 
-ANSWER_SECONDS = 0.8
+ANSWER_TIMEOUT_SECONDS = 0.8
 """How long the store may be silent beyond a watch's wait, and within an
 answer; a slow store takes a quarter of a second."""
 
@@ -58,7 +58,7 @@
 """Pauses between questions to a store that fails. The longest one bounds
 how late its return is seen."""
 
-SPARE_RETRY_SECONDS = 1.6
+STANDBY_MAX_RETRY_SECONDS = 1.6
 """The longest one of an instance that leaves the store to others. It only
 has to see a store that comes back for it and for none of the readers."""
 
@@ -70,10 +70,10 @@
     """Return the instances that watch the store."""
     if len(instances) < membership.LARGE_FLEET:
         return instances
-    return ranking.choose("store", instances, READERS)
+    return ranking.choose("store", instances, READER_COUNT)
 
 
-def rest(
+def compute_standby_age(
     own: str, instances: tuple[str, ...], ages: list[float]
 ) -> float | None:
     """Return whether an instance can leave the store to others.
@@ -88,10 +88,10 @@
         The age of the newest answer to others, seconds; None if the
         instance has to ask by itself.
     """
-    sources = [age for age in ages if 0 <= age <= SOURCE_SECONDS]
-    if len(sources) < MIN_SOURCES or own in choose_readers(instances):
+    reader_ages = [age for age in ages if 0 <= age <= READER_FRESH_SECONDS]
+    if len(reader_ages) < MIN_READERS or own in choose_readers(instances):
         return None
-    return min(sources)
+    return min(reader_ages)
 
 
 class Follower:
@@ -115,10 +115,12 @@
         ticker: clock.Clock,
         deliver: collections.abc.Callable[[list[models.Item]], None],
         log: eventlog.Log,
-        find_age: collections.abc.Callable[[], float | None] = lambda: None,
+        compute_standby_age: collections.abc.Callable[
+            [], float | None
+        ] = lambda: None,
         is_reader: collections.abc.Callable[[], bool] = lambda: True,
     ) -> None:
-        self._find_age = find_age
+        self._compute_standby_age = compute_standby_age
         self._is_reader = is_reader
         self._store = store
         self._mirror = mirror
@@ -126,69 +128,73 @@
         self._deliver = deliver
         self._log = log
         self._started = ticker.now()
-        self._stale = True
-        self._pause = RETRY_SECONDS
+        self._needs_full_read = True
+        self._retry_seconds = RETRY_SECONDS
         self._failing_since: float | None = None
-        self.resting = False
-        self.answered = ticker.now()
-        self.returned = float("-inf")
+        self.on_standby = False
+        self.answered_at = ticker.now()
+        self.recovered_at = float("-inf")
         self.calls = 0
         self.failures = 0
 
     def follow(self) -> None:
         """Follow the store for ever."""
         while True:
-            if self.rest():
-                self._ticker.sleep(REST_SECONDS)
-            elif not self.step():
-                self.pause()
+            if self.check_standby():
+                self._ticker.sleep(STANDBY_POLL_SECONDS)
+            elif not self.poll():
+                self.back_off()
 
-    def pause(self) -> None:
+    def back_off(self) -> None:
         """Wait before the next question to a store that fails."""
         # Spread by chance: all instances lose the store at once.
-        self._ticker.sleep(random.uniform(0.5, 1.0) * self._pause)
+        self._ticker.sleep(random.uniform(0.5, 1.0) * self._retry_seconds)
         longest = (
-            MAX_RETRY_SECONDS if self._is_reader() else SPARE_RETRY_SECONDS
+            MAX_RETRY_SECONDS
+            if self._is_reader()
+            else STANDBY_MAX_RETRY_SECONDS
         )
-        self._pause = min(2 * self._pause, longest)
+        self._retry_seconds = min(2 * self._retry_seconds, longest)
 
-    def rest(self) -> bool:
+    def check_standby(self) -> bool:
         """Return whether nothing is to be asked of the store now."""
-        age = None if self._stale else self._find_age()
-        self.resting = age is not None
+        age = None if self._needs_full_read else self._compute_standby_age()
+        self.on_standby = age is not None
         if age is not None:
-            self.answered = self._ticker.now() - age
+            self.answered_at = self._ticker.now() - age
             self._failing_since = None
-        return self.resting
+        return self.on_standby
 
-    def step(self) -> bool:
+    def poll(self) -> bool:
         """Ask the store once; return whether it answered."""
-        if self._stale:
-            return self._read()
-        asked = self._begin()
+        if self._needs_full_read:
+            return self._read_all()
+        asked = self._start_call()
         match self._store.watch(
-            const.PREFIX_ALL, self._mirror.revision, self._choose_wait()
+            const.PREFIX_ALL,
+            self._mirror.revision,
+            self._choose_watch_seconds(),
         ):
             case result.Ok(answer):
                 self._note_answer()
-                news = self._mirror.apply(answer.items, answer.revision)
-                if news:
-                    self._deliver(news)
-                    self._gather()
+                changes = self._mirror.apply(answer.items, answer.revision)
+                if changes:
+                    self._deliver(changes)
+                    self._wait_for_batch()
                 return True
             case result.Err(client.Compacted()):
-                self._stale = True
+                self._needs_full_read = True
                 return True
             case result.Err(reason):
                 self._note_failure(str(reason), asked)
                 return False
 
-    def _read(self) -> bool:
+    def _read_all(self) -> bool:
         items: list[models.Item] = []
         revision = 0
         after = ""
         while True:
-            asked = self._begin()
+            asked = self._start_call()
             match self._store.read(const.PREFIX_ALL, after):
                 case result.Ok(page):
                     items += page.items
@@ -200,18 +206,20 @@
                 break
             after = page.items[-1].key
         self._note_answer()
-        self._stale = False
-        news = self._mirror.replace(items, revision)
-        if news:
-            self._deliver(news)
+        self._needs_full_read = False
+        changes = self._mirror.replace(items, revision)
+        if changes:
+            self._deliver(changes)
         return True
 
-    def _gather(self) -> None:
+    def _wait_for_batch(self) -> None:
         age = self._ticker.now() - self._started
-        new = age < START_SECONDS
-        self._ticker.sleep(START_GATHER_SECONDS if new else GATHER_SECONDS)
+        is_starting = age < START_PHASE_SECONDS
+        self._ticker.sleep(
+            START_BATCH_SECONDS if is_starting else BATCH_SECONDS
+        )
 
-    def _choose_wait(self) -> float:
+    def _choose_watch_seconds(self) -> float:
         """Return how long the store may hold the next watch, seconds."""
         # A question that is out when a silent store comes back stays
         # without an answer, and hides the return until it is given up.
@@ -220,24 +228,24 @@
         # waits for nothing is given up after ANSWER_SECONDS.
         return 0.0 if self._failing_since is not None else WATCH_SECONDS
 
-    def _begin(self) -> float:
+    def _start_call(self) -> float:
         self.calls += 1
         return self._ticker.now()
 
     def _note_answer(self) -> None:
         now = self._ticker.now()
-        self._pause = RETRY_SECONDS
+        self._retry_seconds = RETRY_SECONDS
         if self._failing_since is not None:
-            away = now - self.answered
+            away = now - self.answered_at
             if away > OUTAGE_SECONDS + WATCH_SECONDS:
-                self.returned = now
+                self.recovered_at = now
             self._log.write(
                 events.StoreBack(
                     away_seconds=away, revision=self._mirror.revision
                 )
             )
             self._failing_since = None
-        self.answered = now
+        self.answered_at = now
 
     def _note_failure(self, reason: str, asked: float) -> None:
         now = self._ticker.now()
--- a/citronport/relay/fleet.py
+++ b/citronport/relay/gossip.py
@@ -28,7 +28,7 @@
 """Pause between two reports of an instance without work: three of them
 fit into the time after which it counts as out of reach."""
 
-ALONE_SECONDS = 0.1
+FIRST_SEED_SECONDS = 0.1
 """First pause between two reports to seeds of an instance that has heard of
 nobody yet; each is twice as long as the one before. After a loss of power
 the seeds themselves may still be starting."""
@@ -40,17 +40,17 @@
 """The same later: only two parts of a fleet that have forgotten each other
 in a long cut need it."""
 
-TELLERS = 2
+ANNOUNCERS = 2
 """Readers that tell an instance of news at once. Each reader of 60 instances
 then tells 15; what both fail to tell comes with anybody's next report."""
 
-SENDS_AT_ONCE = 12
+GROUP_SIZE = 12
 """Reports sent without a pause: 24 KB take 20 ms on the slowest link."""
 
 READ_BYTES = 65536
 
 
-class Fleet:
+class Gossip:
     """Reports to other instances and takes their reports.
 
     Args:
@@ -69,26 +69,28 @@
         settings: settings_module.Settings,
         members: membership_module.Membership,
         ticker: clock.Clock,
-        describe: messages.Describe,
-        take_report: collections.abc.Callable[[messages.Report], None],
-        take_leasing: collections.abc.Callable[[messages.Leasing], None],
+        make_report: messages.MakeReport,
+        handle_report: collections.abc.Callable[[messages.Report], None],
+        handle_lease_message: collections.abc.Callable[
+            [messages.LeaseMessage], None
+        ],
         summaries: summaries_module.Summaries,
         log: eventlog.Log,
     ) -> None:
         self._settings = settings
         self._members = members
         self._ticker = ticker
-        self._describe = describe
-        self._take_report = take_report
-        self._take_leasing = take_leasing
+        self._make_report = make_report
+        self._handle_report = handle_report
+        self._handle_lease_message = handle_lease_message
         self._summaries = summaries
         self._log = log
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._seeded = float("-inf")
-        self._alone_pause = ALONE_SECONDS / 2
+        self._seeded_at = float("-inf")
+        self._seed_backoff_seconds = FIRST_SEED_SECONDS / 2
         self._reachable: set[str] = set()
 
-    def use(self, settings: settings_module.Settings) -> None:
+    def update_settings(self, settings: settings_module.Settings) -> None:
         """Take new settings; addresses of this instance stay."""
         self._settings = settings
 
@@ -97,33 +99,37 @@
         host = str(self._settings.peers.address)
         self._socket.bind((host, self._settings.reports))
 
-    def report_again_and_again(self) -> None:
+    def report_forever(self) -> None:
         """Tell the others of this instance for ever."""
         while True:
-            report = self._describe()
+            report = self._make_report()
             busy = any(row[1] for row in report.loads)
             pause = REPORT_SECONDS if busy else IDLE_REPORT_SECONDS
-            self.send(report, max(pause, self._members.get_pause()))
-            self._members.drop_gone(self._ticker.now())
-            self._note_reach()
+            self.send_report(
+                report, max(pause, self._members.get_report_interval())
+            )
+            self._members.drop_forgotten(self._ticker.now())
+            self._log_reach_changes()
 
-    def summarize_again_and_again(self) -> None:
+    def summarize_forever(self) -> None:
         """Tell other data centres of this one for ever."""
         while True:
-            self.tell_summary()
+            self.send_summaries()
             self._ticker.sleep(membership_module.SUMMARY_SECONDS)
 
-    def tell_summary(self) -> None:
+    def send_summaries(self) -> None:
         """Tell the data centres that this instance is an envoy to."""
         now = self._ticker.now()
-        targets = self._members.choose_targets(now)
+        targets = self._members.choose_summary_targets(now)
         if not targets:
             return
         data = messages.pack(self._summaries.make(now))
         for target in targets:
-            self._put(data, target)
+            self._send_datagram(data, target)
 
-    def send(self, report: messages.Report, seconds: float = 0.0) -> None:
+    def send_report(
+        self, report: messages.Report, spread_seconds: float = 0.0
+    ) -> None:
         """Send a report to other instances, and to seeds now and then.
 
         Load: sixty reports of 2 KB at once on a link of 10 Mbit/s. Harm:
@@ -134,49 +140,57 @@
 
         Args:
             report: what to tell.
-            seconds: time over which the sends are spread.
+            spread_seconds: time over which the sends are spread.
         """
         now = self._ticker.now()
         targets = set(self._members.list_addresses(now))
-        if now - self._seeded >= self._choose_seed_pause(now):
-            self._seeded = now
-            self._alone_pause = min(2 * self._alone_pause, SEED_SECONDS)
+        if now - self._seeded_at >= self._choose_seed_interval(now):
+            self._seeded_at = now
+            self._seed_backoff_seconds = min(
+                2 * self._seed_backoff_seconds, SEED_SECONDS
+            )
             seeds = {str(seed) for seed in self._settings.seeds}
-            self._ask_seeds(seeds - {str(self._settings.peers)})
+            self._send_meet(seeds - {str(self._settings.peers)})
             targets |= seeds
         targets.discard(str(self._settings.peers))
         data = messages.CODEC.encode(report)
-        for chosen in split_targets(targets):
-            for target in chosen:
-                self._put(data, target)
-            share = len(chosen) / len(targets)
-            if seconds:
-                self._ticker.sleep(seconds * share)
-        if seconds and not targets:
-            self._ticker.sleep(seconds)
-
-    def _choose_seed_pause(self, now: float) -> float:
+        for group in split_targets(targets):
+            for target in group:
+                self._send_datagram(data, target)
+            share = len(group) / len(targets)
+            if spread_seconds:
+                self._ticker.sleep(spread_seconds * share)
+        if spread_seconds and not targets:
+            self._ticker.sleep(spread_seconds)
+
+    def _choose_seed_interval(self, now: float) -> float:
         if self._members.is_settled(now):
             return SETTLED_SEED_SECONDS
-        return self._alone_pause if self._members.is_alone() else SEED_SECONDS
+        return (
+            self._seed_backoff_seconds
+            if self._members.is_alone()
+            else SEED_SECONDS
+        )
 
-    def _ask_seeds(self, seeds: set[str]) -> None:
+    def _send_meet(self, seeds: set[str]) -> None:
         meet = messages.Meet(
             protocol=messages.PROTOCOL,
-            peers=str(self._settings.peers),
+            peer_address=str(self._settings.peers),
             data_centre=self._settings.data_centre,
         )
         for seed in seeds:
-            self._put(messages.CODEC.encode(meet), seed)
+            self._send_datagram(messages.CODEC.encode(meet), seed)
 
-    def tell(self, instance: str, message: messages.Leasing) -> None:
+    def send_lease_message(
+        self, instance: str, message: messages.LeaseMessage
+    ) -> None:
         """Send a message on leases to an instance, this one included."""
         if instance == self._settings.instance:
-            self._take_leasing(message)
+            self._handle_lease_message(message)
             return
         address = self._members.get_address(instance)
         if address is not None:
-            self._put(messages.CODEC.encode(message), address)
+            self._send_datagram(messages.CODEC.encode(message), address)
 
     def receive(self) -> None:
         """Take reports for ever."""
@@ -193,43 +207,45 @@
                 )
                 continue
             if getattr(message, "protocol", None) == messages.PROTOCOL:
-                self._take(message)
+                self._handle(message)
 
-    def _take(self, message: messages.Message) -> None:
+    def _handle(self, message: messages.Message) -> None:
         match message:
             case messages.Report():
-                if self._members.hear(message, self._ticker.now()):
-                    self._take_report(message)
-                    self._greet()
+                if self._members.apply_report(message, self._ticker.now()):
+                    self._handle_report(message)
+                    self._report_to_new_instances()
             case messages.Meet():
-                self._introduce(message)
+                self._answer_meet(message)
             case messages.Summary():
-                self._take_summary(message)
+                self._handle_summary(message)
             case messages.Want() | messages.Held() | messages.Packed():
                 # These go over streams; here they are somebody's mistake.
                 logging.warning(
                     "%s %s came as a datagram.", LOG, type(message).__name__
                 )
             case _:
-                self._take_leasing(message)
+                self._handle_lease_message(message)
 
-    def _take_summary(self, summary: messages.Summary) -> None:
-        if not self._summaries.take(summary, self._ticker.now()):
+    def _handle_summary(self, summary: messages.Summary) -> None:
+        if not self._summaries.apply(summary, self._ticker.now()):
             return
-        if summary.passed_on:
+        if summary.is_forwarded:
             return
-        data = messages.pack(dataclasses.replace(summary, passed_on=True))
+        data = messages.pack(dataclasses.replace(summary, is_forwarded=True))
         for address in self._members.list_addresses(self._ticker.now()):
-            self._put(data, address)
+            self._send_datagram(data, address)
 
-    def _introduce(self, meet: messages.Meet) -> None:
+    def _answer_meet(self, meet: messages.Meet) -> None:
         # The summaries tell it of this data centre; it lacks neighbours
         # that would pass them on to it.
-        if self._members.is_far(meet.data_centre):
-            report = self._describe(meet.data_centre)
-            self._put(messages.CODEC.encode(report), meet.peers)
+        if self._members.is_remote(meet.data_centre):
+            report = self._make_report(meet.data_centre)
+            self._send_datagram(
+                messages.CODEC.encode(report), meet.peer_address
+            )
 
-    def _greet(self) -> None:
+    def _report_to_new_instances(self) -> None:
         """Report at once to instances that have just shown up.
 
         Load: all instances are killed and start again, and their callers
@@ -237,24 +253,24 @@
         of a second and more with reports at rest, each hands out places by
         itself, and all send to the endpoints that look idle.
         """
-        strangers = self._members.take_strangers()
-        if not strangers:
+        new_addresses = self._members.take_new_addresses()
+        if not new_addresses:
             return
         now = self._ticker.now()
-        told = set(self._members.list_addresses(now))
-        data = messages.CODEC.encode(self._describe())
-        for address in strangers:
-            if address in told:
-                self._put(data, address)
+        targets = set(self._members.list_addresses(now))
+        data = messages.CODEC.encode(self._make_report())
+        for address in new_addresses:
+            if address in targets:
+                self._send_datagram(data, address)
 
-    def _put(self, data: bytes, address: str) -> None:
+    def _send_datagram(self, data: bytes, address: str) -> None:
         host = address.rpartition(":")[0]
         # A datagram that can't be sent is one that got lost: the next one
         # of its kind makes up for it.
         with contextlib.suppress(OSError):
             self._socket.sendto(data, (host, self._settings.reports))
 
-    def tell_news(self) -> None:
+    def announce_changes(self) -> None:
         """Tell instances that leave the store to others of its news.
 
         Load: an endpoint that starts to leave, in a fleet of sixty whose
@@ -266,15 +282,17 @@
         readers = follower_module.choose_readers(instances)
         if own not in readers:
             return
-        data = messages.CODEC.encode(self._describe())
+        data = messages.CODEC.encode(self._make_report())
         for instance in instances:
             if instance in readers:
                 continue
             address = self._members.get_address(instance)
-            if address and own in ranking.choose(instance, readers, TELLERS):
-                self._put(data, address)
+            if address and own in ranking.choose(
+                instance, readers, ANNOUNCERS
+            ):
+                self._send_datagram(data, address)
 
-    def _note_reach(self) -> None:
+    def _log_reach_changes(self) -> None:
         now = self._ticker.now()
         fresh = {r.instance for r in self._members.list_fresh(now)}
         for name in fresh ^ self._reachable:
@@ -290,9 +308,9 @@
 
 def split_targets(targets: collections.abc.Iterable[str]) -> list[list[str]]:
     """Return addresses in groups, in an order that is drawn by chance."""
-    drawn = list(targets)
-    random.shuffle(drawn)
+    shuffled = list(targets)
+    random.shuffle(shuffled)
     return [
-        drawn[start : start + SENDS_AT_ONCE]
-        for start in range(0, len(drawn), SENDS_AT_ONCE)
+        shuffled[start : start + GROUP_SIZE]
+        for start in range(0, len(shuffled), GROUP_SIZE)
     ]
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -51,7 +51,7 @@
         board: board_module.Board,
         health: health_module.Health,
         is_ready: collections.abc.Callable[[], bool],
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
@@ -69,7 +69,7 @@
         dispatcher.owners = self.owners
         dispatcher.lessee = self.lessee
 
-    def take(self, message: messages.Leasing) -> None:
+    def take(self, message: messages.LeaseMessage) -> None:
         """Take a message of another instance, or one's own."""
         match message:
             case messages.Ask():
--- a/citronport/relay/lessee.py
+++ b/citronport/relay/lessee.py
@@ -62,7 +62,7 @@
         own: str,
         owners: owners_module.Owners,
         board: board_module.Board,
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
@@ -108,7 +108,7 @@
                 self._tell(owner, self._make_end(work.request_id, ""))
         return found
 
-    def take(self, answer: messages.Leasing) -> None:
+    def take(self, answer: messages.LeaseMessage) -> None:
         """Take an owner's answer."""
         pending = self._pending.get(answer.request)
         if pending is not None:
@@ -249,8 +249,8 @@
             prompt=work.prompt_tokens,
             output=work.output_tokens,
             expected=work.expected_tokens,
-            spent=now - work.arrived,
-            left=work.deadline - now,
+            elapsed_seconds=now - work.arrived,
+            remaining_seconds=work.deadline - now,
             tried=list(tried),
         )
 
--- a/citronport/relay/lessor.py
+++ b/citronport/relay/lessor.py
@@ -68,7 +68,7 @@
         world: world_module.World,
         board: board_module.Board,
         health: health_module.Health,
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
     ) -> None:
         self._own = own
@@ -239,6 +239,6 @@
             output_tokens=ask.output,
             expected_tokens=ask.expected,
             parts=(),
-            arrived=now - ask.spent,
-            deadline=now + ask.left,
+            arrived=now - ask.elapsed_seconds,
+            deadline=now + ask.remaining_seconds,
         )
--- a/citronport/relay/listeners.py
+++ b/citronport/relay/listeners.py
@@ -11,7 +11,7 @@
 BODY_MEMORY_SHARE = 0.2
 """Part of the memory that bodies of requests may take together."""
 
-RESERVED_FILES = 200
+RESERVED_DESCRIPTORS = 200
 """File descriptors that are left for files, as the machines require."""
 
 
@@ -32,18 +32,18 @@
 ) -> connections.Limits:
     """Return what callers may send, and how long they may take."""
     limits = connections.Limits(
-        connections=(settings.files - RESERVED_FILES) // 2,
+        connections=(settings.files - RESERVED_DESCRIPTORS) // 2,
         bodies_bytes=int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE),
     )
     if configuration is None:
         return limits
-    told = configuration.limits
+    configured = configuration.limits
     return connections.Limits(
         connections=limits.connections,
         bodies_bytes=limits.bodies_bytes,
-        idle_seconds=told.idle_seconds,
-        head_seconds=told.head_seconds,
-        body_bytes=told.body_bytes,
+        idle_seconds=configured.idle_seconds,
+        head_seconds=configured.head_seconds,
+        body_bytes=configured.body_bytes,
     )
 
 
--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -11,7 +11,7 @@
 """Age up to which a report counts for shared limits and loads: several
 reports may be lost on the way before an instance looks out of reach."""
 
-LISTED_SECONDS = 2.0
+USABLE_SECONDS = 2.0
 """Age up to which callers are sent to an instance. A dead one is found by
 its callers at their next connection; one that is only slow to report must
 not lose all its callers at once."""
@@ -24,7 +24,7 @@
 for.
 """
 
-TRIED_SECONDS = 300.0
+FORGET_SECONDS = 300.0
 """How long reports still go to a silent instance, so that two parts of the
 fleet find each other again after a cut."""
 
@@ -40,14 +40,14 @@
 SUMMARY_SECONDS = 0.3
 """Pause between two summaries of a data centre for one of the others."""
 
-ENVOYS = 2
+SUMMARY_SENDERS = 2
 """Instances that tell one data centre of another one. While one of them is
 dead and not yet seen to be, the other one's summaries go on."""
 
-TOLD_MEMBERS = 8
+REPORTED_MEMBERS = 8
 """Members named in one report; other ones each time."""
 
-SETTLED_MEMBERS = 2
+SETTLED_REPORTED_MEMBERS = 2
 """The same once no new instance has been heard of for a while: names would
 be half of the bytes of a report."""
 
@@ -59,10 +59,10 @@
 SETTLED_SECONDS = 10.0
 """Time without a new instance after which a fleet counts as settled."""
 
-SILENT_REPORTS = 3.0
+MISSED_REPORTS = 3.0
 """Reports that must stay out before an instance counts as out of reach."""
 
-SILENT_SUMMARIES = 3.0
+MISSED_SUMMARIES = 3.0
 """The same for the summaries by which other data centres hear of it."""
 
 
@@ -79,9 +79,9 @@
     """
 
     report: messages.Report | None
-    heard: float
-    told: float
-    peers: str
+    reported_at: float
+    added_at: float
+    peer_address: str
     data_centre: str
 
 
@@ -102,19 +102,21 @@
         self._own = own
         self._data_centre = data_centre
         self._members: dict[str, Member] = {}
-        self._near = 0
-        self._grown = float("-inf")
-        self._strangers: list[str] = []
+        self._local_count = 0
+        self._last_added_at = float("-inf")
+        self._new_addresses: list[str] = []
 
-    def get_pause(self) -> float:
+    def get_report_interval(self) -> float:
         """Return the shortest pause between two reports, seconds."""
-        told = self._near if self.is_large() else len(self._members)
-        return told / REPORTS_PER_SECOND
+        receivers = (
+            self._local_count if self.is_large() else len(self._members)
+        )
+        return receivers / REPORTS_PER_SECOND
 
-    def get_lag(self) -> float:
+    def get_propagation_seconds(self) -> float:
         """Return the time until others hear of this instance, seconds."""
-        pause = self.get_pause()
-        return pause + SUMMARY_SECONDS if self.is_large() else pause
+        interval = self.get_report_interval()
+        return interval + SUMMARY_SECONDS if self.is_large() else interval
 
     def is_large(self) -> bool:
         """Return whether data centres hear of each other by summaries."""
@@ -122,7 +124,7 @@
         # cut has halved must not change its ways within it.
         return len(self._members) + 1 >= LARGE_FLEET
 
-    def is_far(self, data_centre: str) -> bool:
+    def is_remote(self, data_centre: str) -> bool:
         """Return whether a data centre is told of by its envoys only."""
         return data_centre != self._data_centre and self.is_large()
 
@@ -132,7 +134,7 @@
 
     def is_growing(self, now: float) -> bool:
         """Return whether this instance still gets to know the others."""
-        return self.is_alone() or now - self._grown < GROWING_SECONDS
+        return self.is_alone() or now - self._last_added_at < GROWING_SECONDS
 
     def is_settled(self, now: float) -> bool:
         """Return whether no new instance has been heard of for a while.
@@ -142,9 +144,9 @@
         """
         if self.is_alone():
             return False
-        return now - self._grown > SETTLED_SECONDS
+        return now - self._last_added_at > SETTLED_SECONDS
 
-    def hear(self, report: messages.Report, now: float) -> bool:
+    def apply_report(self, report: messages.Report, now: float) -> bool:
         """Take a report; return False if it is old or one's own.
 
         Args:
@@ -153,21 +155,21 @@
         """
         if report.instance == self._own:
             return False
-        member = self._find(
-            report.instance, report.data_centre, report.peers, now
+        member = self._get_or_add(
+            report.instance, report.data_centre, report.peer_address, now
         )
         if not self._is_newer(member, report, now):
             return False
         last = member.report
         if last is None or last.incarnation != report.incarnation:
-            self._strangers.append(report.peers)
+            self._new_addresses.append(report.peer_address)
         member.report = report
-        member.heard = now
-        member.peers = report.peers
-        self.learn(report.members, now)
+        member.reported_at = now
+        member.peer_address = report.peer_address
+        self.add_members(report.members, now)
         return True
 
-    def learn(
+    def add_members(
         self,
         members: collections.abc.Iterable[tuple[str, str, str, str]],
         now: float,
@@ -178,51 +180,57 @@
             members: rows as ``list_members`` makes them.
             now: clock time, seconds.
         """
-        for name, _, peers, data_centre in members:
+        for name, _, peer_address, data_centre in members:
             if name == self._own:
                 continue
             known = name in self._members
-            member = self._find(name, data_centre, peers, now)
+            member = self._get_or_add(name, data_centre, peer_address, now)
             if not known:
-                self._strangers.append(peers)
+                self._new_addresses.append(peer_address)
             elif member.report is None:
-                member.peers = peers
+                member.peer_address = peer_address
 
-    def drop_gone(self, now: float) -> None:
+    def drop_forgotten(self, now: float) -> None:
         """Forget the instances that nobody has heard of for long."""
-        gone = [n for n, m in self._members.items() if not _is_tried(m, now)]
+        gone = [
+            n for n, m in self._members.items() if not _is_remembered(m, now)
+        ]
         for name in gone:
             member = self._members.pop(name)
-            self._near -= member.data_centre == self._data_centre
+            self._local_count -= member.data_centre == self._data_centre
 
-    def take_strangers(self) -> list[str]:
+    def take_new_addresses(self) -> list[str]:
         """Return the addresses of instances that may not know this one yet.
 
         Each start of another instance that reports to this one is named
         once, whether it did so by itself or was told of by others.
         """
-        strangers, self._strangers = self._strangers, []
-        return strangers
+        addresses, self._new_addresses = self._new_addresses, []
+        return addresses
 
     def list_fresh(self, now: float) -> list[messages.Report]:
         """Return the reports of the instances in reach."""
-        near, far = self._get_fresh(), self._get_far_fresh()
+        local_seconds, remote_seconds = (
+            self._get_local_fresh_seconds(),
+            self._get_remote_fresh_seconds(),
+        )
         own = self._data_centre
         return [
             m.report
             for m in self._members.values()
             if m.report is not None
-            and now - m.heard <= (near if m.data_centre == own else far)
+            and now - m.reported_at
+            <= (local_seconds if m.data_centre == own else remote_seconds)
         ]
 
     def list_usable(self, now: float) -> list[messages.Report]:
         """Return the reports of those that callers may be sent to."""
-        listed = max(LISTED_SECONDS, self._get_far_fresh())
+        usable_seconds = max(USABLE_SECONDS, self._get_remote_fresh_seconds())
         return [
             m.report
             for m in self._members.values()
             if m.report is not None
-            and now - m.heard <= listed
+            and now - m.reported_at <= usable_seconds
             and m.report.ready
             and not m.report.leaving
         ]
@@ -232,18 +240,21 @@
         names = {self._own}
         for name, member in self._members.items():
             report = member.report
-            if report is None or now - member.heard > KNOWN_SECONDS:
+            if report is None or now - member.reported_at > KNOWN_SECONDS:
                 continue
             # One that said it would leave has gone if it is silent.
-            if report.leaving and now - member.heard > self._get_far_fresh():
+            if (
+                report.leaving
+                and now - member.reported_at > self._get_remote_fresh_seconds()
+            ):
                 continue
             names.add(name)
         return tuple(sorted(names))
 
     def get_oldest_age(self, now: float) -> float:
         """Return the age of the oldest report in use, seconds."""
-        ages = [now - m.heard for m in self._members.values()]
-        fresh = self._get_far_fresh()
+        ages = [now - m.reported_at for m in self._members.values()]
+        fresh = self._get_remote_fresh_seconds()
         return max((a for a in ages if a <= fresh), default=0.0)
 
     def compute_reach(self, now: float) -> float:
@@ -254,14 +265,14 @@
     def get_address(self, instance: str) -> str | None:
         """Return the address of an instance for other instances."""
         member = self._members.get(instance)
-        return member.peers if member else None
+        return member.peer_address if member else None
 
     def list_addresses(self, now: float) -> list[str]:
         """Return the addresses to which reports go."""
         return [
-            m.peers
+            m.peer_address
             for m in self._members.values()
-            if not self.is_far(m.data_centre) and _is_tried(m, now)
+            if not self.is_remote(m.data_centre) and _is_remembered(m, now)
         ]
 
     def list_members(
@@ -279,23 +290,24 @@
             if not data_centre or r.data_centre == data_centre
         ]
         settled = self.is_settled(now) and not data_centre
-        number = SETTLED_MEMBERS if settled else TOLD_MEMBERS
-        told = random.sample(fresh, min(number, len(fresh)))
+        number = SETTLED_REPORTED_MEMBERS if settled else REPORTED_MEMBERS
+        chosen = random.sample(fresh, min(number, len(fresh)))
         return [
-            (r.instance, r.incarnation, r.peers, r.data_centre) for r in told
+            (r.instance, r.incarnation, r.peer_address, r.data_centre)
+            for r in chosen
         ]
 
-    def list_near(self, now: float) -> list[tuple[messages.Report, float]]:
+    def list_local(self, now: float) -> list[tuple[messages.Report, float]]:
         """Return the fresh reports of this data centre and their ages."""
         return [
-            (m.report, now - m.heard)
+            (m.report, now - m.reported_at)
             for m in self._members.values()
             if m.report is not None
             and m.data_centre == self._data_centre
-            and now - m.heard <= self._get_fresh()
+            and now - m.reported_at <= self._get_local_fresh_seconds()
         ]
 
-    def choose_targets(self, now: float) -> list[str]:
+    def choose_summary_targets(self, now: float) -> list[str]:
         """Return whom this instance tells of its data centre now.
 
         One of each data centre that it is an envoy to, another one each
@@ -303,43 +315,51 @@
         """
         if not self.is_large():
             return []
-        near = tuple(sorted(r.instance for r, _ in self.list_near(now)))
-        names = (*near, self._own)
-        places = {m.data_centre for m in self._members.values()}
+        local = tuple(sorted(r.instance for r, _ in self.list_local(now)))
+        names = (*local, self._own)
+        data_centres = {m.data_centre for m in self._members.values()}
         targets = []
-        for place in sorted(places - {self._data_centre}):
-            if self._own in ranking.choose(place, names, ENVOYS):
-                targets += self._choose_target(place, now)
+        for data_centre in sorted(data_centres - {self._data_centre}):
+            if self._own in ranking.choose(
+                data_centre, names, SUMMARY_SENDERS
+            ):
+                targets += self._choose_summary_target(data_centre, now)
         return targets
 
-    def _choose_target(self, place: str, now: float) -> list[str]:
-        tried = [
+    def _choose_summary_target(
+        self, data_centre: str, now: float
+    ) -> list[str]:
+        members = [
             m
             for m in self._members.values()
-            if m.data_centre == place and _is_tried(m, now)
+            if m.data_centre == data_centre and _is_remembered(m, now)
         ]
-        far = self._get_far_fresh()
-        fresh = [m for m in tried if now - m.heard <= far]
-        return [random.choice(fresh or tried).peers] if tried else []
+        fresh_seconds = self._get_remote_fresh_seconds()
+        fresh = [m for m in members if now - m.reported_at <= fresh_seconds]
+        return (
+            [random.choice(fresh or members).peer_address] if members else []
+        )
 
-    def _get_fresh(self) -> float:
-        return max(FRESH_SECONDS, SILENT_REPORTS * self.get_pause())
+    def _get_local_fresh_seconds(self) -> float:
+        return max(FRESH_SECONDS, MISSED_REPORTS * self.get_report_interval())
 
-    def _get_far_fresh(self) -> float:
-        fresh = self._get_fresh()
+    def _get_remote_fresh_seconds(self) -> float:
+        fresh = self._get_local_fresh_seconds()
         if self.is_large():
-            fresh += SILENT_SUMMARIES * SUMMARY_SECONDS
+            fresh += MISSED_SUMMARIES * SUMMARY_SECONDS
         return fresh
 
-    def _find(
-        self, name: str, data_centre: str, peers: str, now: float
+    def _get_or_add(
+        self, name: str, data_centre: str, peer_address: str, now: float
     ) -> Member:
         member = self._members.get(name)
         if member is None:
-            member = Member(None, float("-inf"), now, peers, data_centre)
+            member = Member(
+                None, float("-inf"), now, peer_address, data_centre
+            )
             self._members[name] = member
-            self._near += data_centre == self._data_centre
-            self._grown = now
+            self._local_count += data_centre == self._data_centre
+            self._last_added_at = now
         return member
 
     def _is_newer(
@@ -352,8 +372,8 @@
             # Datagrams may overtake each other.
             return report.number > last.number
         # An envoy may still tell of the start before the latest one.
-        return now >= member.heard
+        return now >= member.reported_at
 
 
-def _is_tried(member: Member, now: float) -> bool:
-    return now - max(member.heard, member.told) <= TRIED_SECONDS
+def _is_remembered(member: Member, now: float) -> bool:
+    return now - max(member.reported_at, member.added_at) <= FORGET_SECONDS
--- a/citronport/relay/messages.py
+++ b/citronport/relay/messages.py
@@ -52,13 +52,13 @@
     number: int
     data_centre: str
     capacity: float
-    callers: str
-    peers: str
+    caller_address: str
+    peer_address: str
     ready: bool
     leaving: bool
     revision: int
     store_seconds: float
-    passed: dict[str, float]
+    admitted_units: dict[str, float]
     loads: list[tuple[str, int, int, int]]
     profiles: list[tuple[str, float, float, float]]
     members: list[tuple[str, str, str, str]]
@@ -77,7 +77,7 @@
     """
 
     protocol: int
-    peers: str
+    peer_address: str
     data_centre: str
 
 
@@ -115,9 +115,9 @@
     incarnation: str
     number: int
     data_centre: str
-    passed_on: bool
+    is_forwarded: bool
     rows: list[Row]
-    passed: dict[str, float]
+    admitted_units: dict[str, float]
     profiles: list[tuple[str, float, float, float]]
     members: list[tuple[str, str, str, str]]
     suspects: list[suspects.Row]
@@ -136,7 +136,7 @@
 
     protocol: int
     revision: int
-    whole: bool
+    include_large: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -153,10 +153,10 @@
     """
 
     revision: int
-    returned_seconds: float
+    recovered_seconds: float
     keys: list[str]
     items: list[tuple[str, bytes, int]]
-    whole: bool
+    is_complete: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -197,8 +197,8 @@
     prompt: int
     output: int
     expected: int
-    spent: float
-    left: float
+    elapsed_seconds: float
+    remaining_seconds: float
     tried: list[str]
 
 
@@ -304,16 +304,18 @@
     leases: list[tuple[str, str, int]]
 
 
-Leasing = Ask | Granted | Queued | Full | Declined | Begun | Ended | Holding
+LeaseMessage = (
+    Ask | Granted | Queued | Full | Declined | Begun | Ended | Holding
+)
 
-Describe = collections.abc.Callable[..., Report]
+MakeReport = collections.abc.Callable[..., Report]
 """Returns the report of this instance; given a data centre, one that names
 members there."""
 
-Tell = collections.abc.Callable[[str, Leasing], None]
+SendLeaseMessage = collections.abc.Callable[[str, LeaseMessage], None]
 """Sends a message on leases to an instance, named."""
 
-Message = Report | Meet | Summary | Want | Held | Packed | Leasing
+Message = Report | Meet | Summary | Want | Held | Packed | LeaseMessage
 
 CODEC: codec.Codec[Message] = codec.Codec(
     (
@@ -355,11 +357,11 @@
     """
     if not isinstance(message, Packed):
         return message
-    opener = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        data = opener.decompress(message.data, MAX_MESSAGE_BYTES)
+        data = decompressor.decompress(message.data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
         raise ValueError("not compressed") from error
-    if not opener.eof:
+    if not decompressor.eof:
         raise ValueError("too long, or cut")
     return CODEC.unpack(data)
--- a/citronport/relay/metrics.py
+++ b/citronport/relay/metrics.py
@@ -15,7 +15,7 @@
 )  # fmt: skip
 """Upper bounds in seconds; among them the objectives of the deployments."""
 
-_UNSAFE = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
+_LABEL_ESCAPES = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
 
 
 def make_histogram() -> histogram.Histogram:
@@ -189,7 +189,7 @@
         "sends_total",
         "Sends to endpoints, by result.",
         (
-            ({"result": r.translate(_UNSAFE)}, number)
+            ({"result": r.translate(_LABEL_ESCAPES)}, number)
             for r, number in counts.sends.items()
         ),
     )
--- a/citronport/relay/mirror.py
+++ b/citronport/relay/mirror.py
@@ -30,9 +30,9 @@
             items: changes later than the known revision, in any order.
             revision: all changes up to this one are known now.
         """
-        news = [item for item in items if self._take(item)]
+        changed = [item for item in items if self._apply_item(item)]
         self.revision = max(self.revision, revision)
-        return news
+        return changed
 
     def replace(
         self, items: collections.abc.Sequence[models.Item], revision: int
@@ -62,13 +62,13 @@
         """Return the keys of all items."""
         return list(self._items)
 
-    def take_news(
+    def merge_peer_items(
         self,
         items: collections.abc.Iterable[models.Item],
         keys: collections.abc.Collection[str],
         revision: int,
         *,
-        whole: bool = True,
+        complete: bool = True,
     ) -> list[models.Item]:
         """Take what a neighbour knows; return what changed.
 
@@ -76,7 +76,7 @@
             items: the neighbour's items later than this copy's revision.
             keys: all keys that the neighbour has.
             revision: up to which the neighbour knows all changes.
-            whole: whether no item was left out; else this copy still does
+            complete: whether no item was left out; else this copy still does
                 not know all changes up to that revision.
         """
         if revision <= self.revision:
@@ -86,10 +86,10 @@
             for key, item in self._items.items()
             if key not in keys and item.revision <= revision
         ]
-        known = revision if whole else self.revision
+        known = revision if complete else self.revision
         return self.apply((*missing, *items), known)
 
-    def _take(self, item: models.Item) -> bool:
+    def _apply_item(self, item: models.Item) -> bool:
         known = self._items.get(item.key)
         newest = known.revision if known else self._deleted.get(item.key, 0)
         if item.revision <= newest:
--- a/citronport/relay/news.py
+++ b/citronport/relay/replication.py
@@ -26,18 +26,18 @@
 they are fetched from it: a watch brings them within a few milliseconds. One
 that leaves the store to others fetches at once."""
 
-CATCH_UP_SECONDS = 0.1
+POLL_SECONDS = 0.1
 """Pause between two looks at who is ahead."""
 
-SILENT_SECONDS = 1.0
+IDLE_TIMEOUT_SECONDS = 1.0
 """How long another instance may send nothing within a fetch. One that sends
 slowly is not given up: what has come would come again, over the same link."""
 
-FETCH_SECONDS = 5.0
+FETCH_TIMEOUT_SECONDS = 5.0
 """How long a fetch may take: the largest value, compressed, for sixty at once
 takes 4 s on a link of 10 Mbit/s."""
 
-LARGE_BYTES = 16384
+LARGE_VALUE_BYTES = 16384
 """Size from which a value is fetched apart from the others: below, ten copies
 hold up a link of 10 Mbit/s for an eighth of a second at most."""
 
@@ -48,7 +48,7 @@
 sixty others share each second has room for them."""
 
 
-class News:
+class Replication:
     """Fetches changes from other instances and serves them.
 
     Args:
@@ -73,7 +73,9 @@
         members: membership_module.Membership,
         mirror: mirror_module.Mirror,
         ticker: clock.Clock,
-        take: collections.abc.Callable[[list[models.Item], float], None],
+        handle_changes: collections.abc.Callable[
+            [list[models.Item], float], None
+        ],
         follower: follower_module.Follower,
         log: eventlog.Log,
     ) -> None:
@@ -81,13 +83,13 @@
         self._members = members
         self._mirror = mirror
         self._ticker = ticker
-        self._take = take
+        self._handle_changes = handle_changes
         self._follower = follower
         self._log = log
         self._server: gevent_server.StreamServer | None = None
         self._behind_since: float | None = None
-        self._told = 0
-        self._copier: gevent.Greenlet | None = None
+        self._fetched_revision = 0
+        self._full_fetch: gevent.Greenlet | None = None
         self.taken = 0
         self.failed = 0
         self.received = 0
@@ -96,7 +98,7 @@
         """Listen for questions of other instances."""
         peers = self._settings.peers
         self._server = gevent_server.StreamServer(
-            (str(peers.address), peers.port), self._answer
+            (str(peers.address), peers.port), self._serve
         )
         self._server.start()
 
@@ -114,10 +116,10 @@
     def catch_up(self) -> None:
         """Fetch from others what the store does not tell, for ever."""
         while True:
-            self._ticker.sleep(CATCH_UP_SECONDS)
-            self.look_for_news()
+            self._ticker.sleep(POLL_SECONDS)
+            self.fetch_if_behind()
 
-    def look_for_news(self) -> None:
+    def fetch_if_behind(self) -> None:
         """Fetch the changes of an instance that has been ahead for long.
 
         Load: a store that turns some instances away and serves others.
@@ -125,51 +127,61 @@
         endpoints that have left, for as long as that lasts.
         """
         now = self._ticker.now()
-        copying = self._copier is not None and not self._copier.dead
-        known = self._told if copying else self._mirror.revision
+        is_full_fetch_running = (
+            self._full_fetch is not None and not self._full_fetch.dead
+        )
+        known = (
+            self._fetched_revision
+            if is_full_fetch_running
+            else self._mirror.revision
+        )
         ahead = [
             r for r in self._members.list_fresh(now) if r.revision > known
         ]
         if not ahead:
-            if not copying:
+            if not is_full_fetch_running:
                 self._behind_since = None
             return
         if self._behind_since is None:
             self._behind_since = now
         # One that has just started knows nothing that it could serve with.
-        asks_itself = self._mirror.revision > 0 and not self._follower.resting
-        lag = LAG_SECONDS if asks_itself else 0.0
+        follows_store = (
+            self._mirror.revision > 0 and not self._follower.on_standby
+        )
+        lag = LAG_SECONDS if follows_store else 0.0
         if now - self._behind_since < lag:
             return
-        newest = self._choose_newest(ahead)
-        held = self._fetch(newest, whole=False)
+        newest = self._choose_source(ahead)
+        held = self._fetch(newest, include_large=False)
         if held is None:
             return
-        self._told = held.revision
-        if held.whole:
+        self._fetched_revision = held.revision
+        if held.is_complete:
             self._behind_since = None
-        elif not copying:
+        elif not is_full_fetch_running:
             # Large values come beside this task. Within it, what changes
             # meanwhile would wait for them: requests went to endpoints
             # that had left while a configuration was on its way.
-            self._copier = gevent.spawn(self._fetch, newest, whole=True)
+            self._full_fetch = gevent.spawn(
+                self._fetch, newest, include_large=True
+            )
 
-    def _choose_newest(self, ahead: list[messages.Report]) -> messages.Report:
+    def _choose_source(self, ahead: list[messages.Report]) -> messages.Report:
         """Return the neighbour to fetch from, a near one if there is one."""
         revision = max(r.revision for r in ahead)
         newest = [r for r in ahead if r.revision == revision]
-        near = [
+        local = [
             r for r in newest if r.data_centre == self._settings.data_centre
         ]
-        return random.choice(near or newest)
+        return random.choice(local or newest)
 
     def _fetch(
-        self, source: messages.Report, *, whole: bool
+        self, source: messages.Report, *, include_large: bool
     ) -> messages.Held | None:
         began = self._ticker.now()
-        reader = _Reader()
+        reader = _MessageReader()
         try:
-            held = self._ask(source.peers, whole, reader)
+            held = self._request(source.peer_address, include_large, reader)
         except (OSError, ValueError, msgpack.UnpackException) as error:
             self.failed += 1
             self._log.write(
@@ -184,14 +196,14 @@
             return None
         finally:
             self.received += reader.received
-        news = self._mirror.take_news(
+        changes = self._mirror.merge_peer_items(
             [
                 models.Item(key=key, value=value, revision=revision)
                 for key, value, revision in held.items
             ],
             set(held.keys),
             held.revision,
-            whole=held.whole,
+            complete=held.is_complete,
         )
         now = self._ticker.now()
         self.taken += 1
@@ -199,28 +211,28 @@
             events.NewsFromPeer(
                 peer=source.instance,
                 revision=held.revision,
-                items=len(news),
+                items=len(changes),
                 seconds=now - began,
                 received=reader.received,
             )
         )
-        if news:
-            self._take(news, now - held.returned_seconds)
+        if changes:
+            self._handle_changes(changes, now - held.recovered_seconds)
         return held
 
-    def _ask(
-        self, address: str, whole: bool, reader: "_Reader"
+    def _request(
+        self, address: str, include_large: bool, reader: "_MessageReader"
     ) -> messages.Held:
         want = messages.Want(
             protocol=messages.PROTOCOL,
             revision=self._mirror.revision,
-            whole=whole,
+            include_large=include_large,
         )
         host, _, port = address.rpartition(":")
         with (
-            gevent.Timeout(FETCH_SECONDS, TimeoutError),
+            gevent.Timeout(FETCH_TIMEOUT_SECONDS, TimeoutError),
             socket.create_connection(
-                (host, int(port)), timeout=SILENT_SECONDS
+                (host, int(port)), timeout=IDLE_TIMEOUT_SECONDS
             ) as sock,
         ):
             sock.sendall(messages.CODEC.encode(want))
@@ -229,13 +241,15 @@
             raise ValueError("not an answer")
         return held
 
-    def _answer(self, sock: socket.socket, sender: tuple[str, int]) -> None:
+    def _serve(self, sock: socket.socket, sender: tuple[str, int]) -> None:
         try:
-            with gevent.Timeout(FETCH_SECONDS, TimeoutError), sock:
-                sock.settimeout(SILENT_SECONDS)
-                want = _Reader().read(sock)
+            with gevent.Timeout(FETCH_TIMEOUT_SECONDS, TimeoutError), sock:
+                sock.settimeout(IDLE_TIMEOUT_SECONDS)
+                want = _MessageReader().read(sock)
                 if isinstance(want, messages.Want):
-                    _send(sock, messages.pack(self._hold(want)))
+                    _send_in_pieces(
+                        sock, messages.pack(self._make_answer(want))
+                    )
         except (OSError, ValueError, msgpack.UnpackException) as error:
             logging.warning(
                 "%s a question of %s failed: %s.",
@@ -244,25 +258,25 @@
                 type(error).__name__,
             )
 
-    def _hold(self, want: messages.Want) -> messages.Held:
+    def _make_answer(self, want: messages.Want) -> messages.Held:
         changed = self._mirror.list_items(want.revision)
-        told = [
+        items = [
             item
             for item in changed
-            if want.whole or len(item.value or b"") < LARGE_BYTES
+            if want.include_large or len(item.value or b"") < LARGE_VALUE_BYTES
         ]
         return messages.Held(
             revision=self._mirror.revision,
-            returned_seconds=self._ticker.now() - self._follower.returned,
+            recovered_seconds=self._ticker.now() - self._follower.recovered_at,
             keys=self._mirror.list_keys(),
             items=[
-                (item.key, item.value or b"", item.revision) for item in told
+                (item.key, item.value or b"", item.revision) for item in items
             ],
-            whole=len(told) == len(changed),
+            is_complete=len(items) == len(changed),
         )
 
 
-class _Reader:
+class _MessageReader:
     """Reads one message from a stream.
 
     Attributes:
@@ -288,6 +302,6 @@
         raise ValueError("the connection ended within a message")
 
 
-def _send(sock: socket.socket, data: bytes) -> None:
+def _send_in_pieces(sock: socket.socket, data: bytes) -> None:
     for start in range(0, len(data), SEND_BYTES):
         sock.sendall(data[start : start + SEND_BYTES])
--- a/citronport/relay/reports.py
+++ b/citronport/relay/reports.py
@@ -62,7 +62,7 @@
         self._ticker = ticker
         self._number = 0
 
-    def use(self, settings: settings_module.Settings) -> None:
+    def update_settings(self, settings: settings_module.Settings) -> None:
         """Take new settings; addresses of this instance stay."""
         self._settings = settings
 
@@ -89,17 +89,17 @@
             number=self._number,
             data_centre=settings.data_centre,
             capacity=settings.capacity,
-            callers=str(settings.callers),
-            peers=str(settings.peers),
+            caller_address=str(settings.callers),
+            peer_address=str(settings.peers),
             ready=self._is_ready(),
             leaving=self._is_leaving(),
             revision=self._mirror.revision,
             store_seconds=(
                 -1.0
-                if self._follower.resting
-                else now - self._follower.answered
+                if self._follower.on_standby
+                else now - self._follower.answered_at
             ),
-            passed=self._quotas.get_totals(),
+            admitted_units=self._quotas.get_totals(),
             loads=self._board.list_own(idle_rows),
             profiles=self._board.profiles.list_learnt(),
             members=self._members.list_members(now, data_centre),
@@ -107,9 +107,9 @@
             limits=self._limits.list_told(now),
         )
 
-    def take(self, report: messages.Report) -> None:
+    def apply(self, report: messages.Report) -> None:
         """Take a fresh report of another instance."""
-        if self._members.is_far(report.data_centre):
+        if self._members.is_remote(report.data_centre):
             # What it let pass comes with the sums of its data centre.
             return
         now = self._ticker.now()
@@ -120,7 +120,7 @@
                 profiles_module.Profile(begin=begin, read=read, stay=stay),
             )
         self._quotas.hear(
-            report.instance, report.incarnation, report.passed, now
+            report.instance, report.incarnation, report.admitted_units, now
         )
         self._suspects.hear(report.suspects, now)
         self._limits.hear(report.limits, now)
--- a/citronport/relay/settings.py
+++ b/citronport/relay/settings.py
@@ -10,7 +10,7 @@
 from citronport import documents
 from citronport import settings as common
 
-NAME_BYTES = 64
+MAX_NAME_BYTES = 64
 
 
 def _parse_listener(value: Any) -> Any:
@@ -20,7 +20,7 @@
     return {"address": host, "port": port}
 
 
-def _split(value: Any) -> Any:
+def _split_list(value: Any) -> Any:
     if value is None:
         return ()
     if not isinstance(value, str):
@@ -59,7 +59,7 @@
 
     @pydantic.model_validator(mode="before")
     @classmethod
-    def drop_unsaid(cls, value: Any) -> Any:
+    def drop_unset(cls, value: Any) -> Any:
         """Let a key without a value stand for its default."""
         if isinstance(value, dict):
             return {k: v for k, v in value.items() if v is not None}
@@ -91,10 +91,10 @@
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
     instance: str = pydantic.Field(
-        max_length=NAME_BYTES, pattern=common.NAME_PATTERN
+        max_length=MAX_NAME_BYTES, pattern=common.NAME_PATTERN
     )
     data_centre: str = pydantic.Field(
-        max_length=NAME_BYTES, pattern=common.NAME_PATTERN
+        max_length=MAX_NAME_BYTES, pattern=common.NAME_PATTERN
     )
     callers: Listener
     readiness: Listener
@@ -104,7 +104,7 @@
     metrics: int = pydantic.Field(ge=1, le=65535)
     store: Listener
     seeds: Annotated[
-        tuple[Listener, ...], pydantic.BeforeValidator(_split)
+        tuple[Listener, ...], pydantic.BeforeValidator(_split_list)
     ] = ()
     memory_mb: float = pydantic.Field(default=150.0, gt=0)
     cores: float = pydantic.Field(default=1.0, gt=0)
--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -7,7 +7,7 @@
 from citronport.scheduler.direct import quota
 from citronport.scheduler.direct import suspects as suspects_module
 
-MAX_NEWS = 64
+MAX_CHANGES = 64
 """Changes of one kind told in one summary, of all instances together."""
 
 
@@ -40,7 +40,7 @@
         profiles: profiles_module.Profiles,
         suspects: suspects_module.Suspects,
         limits: endpoint_limits.EndpointLimits,
-        describe: messages.Describe,
+        make_report: messages.MakeReport,
     ) -> None:
         self._instance = instance
         self._incarnation = incarnation
@@ -50,34 +50,34 @@
         self._profiles = profiles
         self._suspects = suspects
         self._limits = limits
-        self._describe = describe
+        self._make_report = make_report
         self.made = 0
         self.taken = 0
         # Of each envoy its start and the number of its newest summary.
-        self._newest: dict[str, tuple[str, int]] = {}
+        self._last_seen: dict[str, tuple[str, int]] = {}
 
     def make(self, now: float) -> messages.Summary:
         """Return what to tell other data centres of this one."""
         self.made += 1
-        near = [*self._members.list_near(now), (self._describe(), 0.0)]
+        local = [*self._members.list_local(now), (self._make_report(), 0.0)]
         # One that learns is enough for a service: the owner of its pool.
-        profiles = {row[0]: row for r, _ in near for row in r.profiles}
+        profiles = {row[0]: row for r, _ in local for row in r.profiles}
         return messages.Summary(
             protocol=messages.PROTOCOL,
             instance=self._instance,
             incarnation=self._incarnation,
             number=self.made,
             data_centre=self._data_centre,
-            passed_on=False,
-            rows=[_make_row(report, age) for report, age in near],
-            passed=self._quotas.get_sums(),
+            is_forwarded=False,
+            rows=[_make_row(report, age) for report, age in local],
+            admitted_units=self._quotas.get_sums(),
             profiles=list(profiles.values()),
             members=self._members.list_members(now),
-            suspects=self._suspects.list_told(now, MAX_NEWS),
-            limits=self._limits.list_told(now, MAX_NEWS),
+            suspects=self._suspects.list_told(now, MAX_CHANGES),
+            limits=self._limits.list_told(now, MAX_CHANGES),
         )
 
-    def take(self, summary: messages.Summary, now: float) -> bool:
+    def apply(self, summary: messages.Summary, now: float) -> bool:
         """Take a summary; return False if it is known already, or one's own.
 
         Args:
@@ -88,20 +88,24 @@
             return False
         # The same summary comes straight and passed on, and one that was
         # overtaken is of no use any more.
-        known = self._newest.get(summary.instance)
+        known = self._last_seen.get(summary.instance)
         start = summary.incarnation
         if known and known[0] == start and known[1] >= summary.number:
             return False
-        self._newest[summary.instance] = (start, summary.number)
+        self._last_seen[summary.instance] = (start, summary.number)
         self.taken += 1
         for row in summary.rows:
             report, age = _read_row(summary, row)
-            self._members.hear(report, now - age)
-        self._members.learn(summary.members, now)
+            self._members.apply_report(report, now - age)
+        self._members.add_members(summary.members, now)
         self._suspects.hear(summary.suspects, now)
         self._limits.hear(summary.limits, now)
         self._quotas.hear_sums(
-            summary.data_centre, summary.instance, start, summary.passed, now
+            summary.data_centre,
+            summary.instance,
+            start,
+            summary.admitted_units,
+            now,
         )
         for service, begin, read, stay in summary.profiles:
             self._profiles.hear(
@@ -118,8 +122,8 @@
         report.number,
         round(age, 3),
         report.capacity,
-        report.callers,
-        report.peers,
+        report.caller_address,
+        report.peer_address,
         report.ready,
         report.leaving,
         report.revision,
@@ -151,13 +155,13 @@
         number=number,
         data_centre=summary.data_centre,
         capacity=capacity,
-        callers=callers,
-        peers=peers,
+        caller_address=callers,
+        peer_address=peers,
         ready=ready,
         leaving=leaving,
         revision=revision,
         store_seconds=store_seconds,
-        passed={},
+        admitted_units={},
         loads=[],
         profiles=[],
         members=[],
--- a/tests/relay/networks.py
+++ b/tests/relay/networks.py
@@ -5,7 +5,7 @@
 import itertools
 
 from citronport import clock
-from citronport.relay import fleet
+from citronport.relay import gossip
 from citronport.relay import membership
 from citronport.relay import messages
 from citronport.relay import settings as settings_module
@@ -36,27 +36,27 @@
         ticker = self.network.ticker
         self.incarnation = str(ticker.now())
         self.number = 0
-        self.passed = {}
-        self.heard = collections.Counter()
+        self.admitted_units = {}
+        self.received = collections.Counter()
         self.members = membership.Membership(self.name, self.data_centre)
         self.quotas = quota.Quotas()
         self.suspects = suspects.Suspects()
         self.limits = endpoint_limits.EndpointLimits()
-        listeners = ("callers", "readiness", "lookups", "peers", "store")
+        address_fields = ("callers", "readiness", "lookups", "peers", "store")
         settings = settings_module.Settings(
             instance=self.name,
             data_centre=self.data_centre,
             reports=7600,
             metrics=9464,
             seeds=seeds,
-            **dict.fromkeys(listeners, self.address),
+            **dict.fromkeys(address_fields, self.address),
         )
-        self.fleet = fleet.Fleet(
+        self.gossip = gossip.Gossip(
             settings,
             self.members,
             ticker,
-            self.describe,
-            self.take_report,
+            self.make_report,
+            self.handle_report,
             lambda message: None,
             summaries.Summaries(
                 self.name,
@@ -67,15 +67,15 @@
                 profiles.Profiles(),
                 self.suspects,
                 self.limits,
-                self.describe,
+                self.make_report,
             ),
             samples.make_log(ticker),
         )
-        self.fleet._socket.close()
-        self.fleet._put = self.put
+        self.gossip._socket.close()
+        self.gossip._send_datagram = self.send_datagram
         self.next_report = self.next_summary = ticker.now()
 
-    def describe(self, data_centre=""):
+    def make_report(self, data_centre=""):
         """Return the report of this node."""
         self.number += 1
         return test_membership.make_report(
@@ -83,8 +83,8 @@
             incarnation=self.incarnation,
             number=self.number,
             data_centre=self.data_centre,
-            peers=self.address,
-            passed=self.quotas.get_totals(),
+            peer_address=self.address,
+            admitted_units=self.quotas.get_totals(),
             members=self.members.list_members(
                 self.network.ticker.now(), data_centre
             ),
@@ -92,28 +92,30 @@
             limits=self.limits.list_told(self.network.ticker.now()),
         )
 
-    def take_report(self, report):
+    def handle_report(self, report):
         """Charge what a neighbour let pass."""
-        if not self.members.is_far(report.data_centre):
+        if not self.members.is_remote(report.data_centre):
             now = self.network.ticker.now()
             self.quotas.hear(
-                report.instance, report.incarnation, report.passed, now
+                report.instance, report.incarnation, report.admitted_units, now
             )
             self.suspects.hear(report.suspects, now)
             self.limits.hear(report.limits, now)
 
-    def put(self, data, address):
+    def send_datagram(self, data, address):
         """Send a datagram."""
-        self.network.put(self, data, address)
+        self.network.send(self, data, address)
 
-    def tell(self, now):
+    def send_due(self, now):
         """Send what is due."""
         if now >= self.next_report:
-            self.fleet.send(self.describe())
-            pause = max(fleet.REPORT_SECONDS, self.members.get_pause())
+            self.gossip.send_report(self.make_report())
+            pause = max(
+                gossip.REPORT_SECONDS, self.members.get_report_interval()
+            )
             self.next_report = now + pause
         if now >= self.next_summary:
-            self.fleet.tell_summary()
+            self.gossip.send_summaries()
             self.next_summary = now + membership.SUMMARY_SECONDS
 
     def list_fresh(self):
@@ -134,27 +136,27 @@
         self.ticker = clock.ManualClock(1.0)
         self.nodes = {}
         self.dead = set()
-        self.crosses = 0
-        self.is_cut = lambda sender, receiver: False
+        self.cross_bytes = 0
+        self.is_blocked = lambda sender, receiver: False
         self._order = itertools.count()
-        self._flying = []
+        self._in_flight = []
         seeds = tuple(f"127.0.{n}.1:8229" for n in range(3))
         self.seeds = seeds
         for number in range(instances):
-            place = f"dc{number % data_centres}"
-            node = Node(self, number, place, seeds)
+            data_centre = f"dc{number % data_centres}"
+            node = Node(self, number, data_centre, seeds)
             self.nodes[node.address] = node
 
-    def put(self, sender, data, address):
+    def send(self, sender, data, address):
         """Take a datagram on its way."""
         receiver = self.nodes.get(address)
-        if receiver is None or self.is_cut(sender, receiver):
+        if receiver is None or self.is_blocked(sender, receiver):
             return
         if receiver.data_centre != sender.data_centre:
-            self.crosses += len(data)
+            self.cross_bytes += len(data)
         at = self.ticker.now() + LINK_SECONDS
         item = (at, next(self._order), data, receiver)
-        heapq.heappush(self._flying, item)
+        heapq.heappush(self._in_flight, item)
 
     def run(self, seconds):
         """Let time pass."""
@@ -165,13 +167,13 @@
             self._deliver(now)
             for node in self.nodes.values():
                 if node not in self.dead:
-                    node.tell(now)
+                    node.send_due(now)
 
     def _deliver(self, now):
-        while self._flying and self._flying[0][0] <= now:
-            _, _, data, receiver = heapq.heappop(self._flying)
+        while self._in_flight and self._in_flight[0][0] <= now:
+            _, _, data, receiver = heapq.heappop(self._in_flight)
             if receiver in self.dead:
                 continue
             message = messages.unpack(messages.CODEC.unpack(data))
-            receiver.heard[type(message).__name__] += 1
-            receiver.fleet._take(message)
+            receiver.received[type(message).__name__] += 1
+            receiver.gossip._handle(message)
--- a/tests/relay/nodes.py
+++ b/tests/relay/nodes.py
@@ -4,11 +4,11 @@
 
 from citronport import clock
 from citronport.platform import client
-from citronport.relay import fleet
 from citronport.relay import follower as follower_module
+from citronport.relay import gossip
 from citronport.relay import membership
 from citronport.relay import mirror as mirror_module
-from citronport.relay import news
+from citronport.relay import replication
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries
 from citronport.scheduler.direct import endpoint_limits
@@ -26,20 +26,20 @@
         host = f"127.{subnet}.{number}"
         self.name = f"i{number}"
         self.address = f"{host}:8229"
-        self.taken = []
+        self.changed_keys = []
         self.mirror = mirror_module.Mirror()
         self.members = membership.Membership(self.name, data_centre)
         self.quotas = quota.Quotas()
         self.suspects = suspects.Suspects()
         self.limits = endpoint_limits.EndpointLimits()
         ticker = clock.RuntimeClock()
-        listeners = ("callers", "readiness", "lookups", "peers", "store")
+        address_fields = ("callers", "readiness", "lookups", "peers", "store")
         settings = settings_module.Settings(
             instance=self.name,
             data_centre=data_centre,
             reports=7600,
             metrics=9464,
-            **{name: f"{host}:8229" for name in listeners},
+            **{name: f"{host}:8229" for name in address_fields},
         )
         log = samples.make_log(ticker)
         self.follower = follower_module.Follower(
@@ -49,11 +49,11 @@
             lambda items: None,
             log,
         )
-        self.fleet = fleet.Fleet(
+        self.gossip = gossip.Gossip(
             settings,
             self.members,
             ticker,
-            self.describe,
+            self.make_report,
             lambda report: None,
             lambda message: None,
             summaries.Summaries(
@@ -65,31 +65,33 @@
                 profiles.Profiles(),
                 self.suspects,
                 self.limits,
-                self.describe,
+                self.make_report,
             ),
             log,
         )
-        self.news = news.News(
+        self.replication = replication.Replication(
             settings,
             self.members,
             self.mirror,
             ticker,
-            lambda items, returned: self.taken.extend(i.key for i in items),
+            lambda items, returned: self.changed_keys.extend(
+                i.key for i in items
+            ),
             self.follower,
             log,
         )
-        self.fleet.open()
-        self.news.open()
-        test.addCleanup(self.fleet._socket.close)
-        test.addCleanup(self.news.close)
-        task = gevent.spawn(self.fleet.receive)
+        self.gossip.open()
+        self.replication.open()
+        test.addCleanup(self.gossip._socket.close)
+        test.addCleanup(self.replication.close)
+        task = gevent.spawn(self.gossip.receive)
         test.addCleanup(task.kill)
 
-    def describe(self):
+    def make_report(self):
         """Return the report of this node."""
         return test_membership.make_report(
             self.name,
             number=self.mirror.revision + 2,
-            peers=self.address,
+            peer_address=self.address,
             revision=self.mirror.revision,
         )
--- a/tests/relay/samples.py
+++ b/tests/relay/samples.py
@@ -106,7 +106,7 @@
     return eventlog.Log("test", ticker, os.open(os.devnull, os.O_WRONLY))
 
 
-class Room:
+class DispatcherFixture:
     """A dispatcher with the parts that it decides by.
 
     Args:
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -37,7 +37,7 @@
         super().setUp()
         self.clock = clock.ManualClock()
         self.met = 0.0
-        self.room = samples.Room([], self.clock)
+        self.room = samples.DispatcherFixture([], self.clock)
         self.room.world.configuration = None
         parts = jobs.Parts(
             self.room.world,
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -18,7 +18,7 @@
         its objective allows and then hears "not run" with a pause, since
         only a final answer lets the caller turn elsewhere.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             taken = room.dispatcher.acquire(
                 samples.make_work(f"t{number}", now=room.ticker.now()),
@@ -41,7 +41,7 @@
         next one hears at once that it has not run and when to come back:
         no sooner than half a second later, and with time left to be served.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             self.acquire(room, f"t{number}")
         waiters = [
@@ -59,7 +59,7 @@
 
     def test_freed_place_goes_to_who_waits(self):
         """A caller waits and gets the place that another gives back."""
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         taken = [
             room.dispatcher.acquire(
                 samples.make_work(f"t{number}", now=room.ticker.now()),
@@ -87,7 +87,7 @@
         though there is room; with no other listed it may.
         """
         endpoints = [samples.make_endpoint(name) for name in ("e1", "e2")]
-        room = samples.Room(endpoints)
+        room = samples.DispatcherFixture(endpoints)
         for number in range(3):
             work = samples.make_work(f"t{number}", now=room.ticker.now())
             room.board.note_sent("e2", work, room.ticker.now())
@@ -107,7 +107,7 @@
 
     def test_no_endpoint_is_told_as_such(self):
         """No endpoint is listed: the caller hears so after its wait."""
-        room = samples.Room([])
+        room = samples.DispatcherFixture([])
         route = samples.make_route(objective=0.01)
         work = samples.make_work("r", route, room.ticker.now())
         found = room.dispatcher.acquire(work, samples.ENGINES, frozenset())
@@ -120,7 +120,7 @@
         at all endpoints for all of them: it falls silent, and all who ask
         it give up on it at once. All news that have come make one look.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             self.acquire(room, f"t{number}")
         waiter = gevent.spawn(self.acquire, room, "w")
@@ -135,7 +135,7 @@
 
     def test_nobody_waits_and_nothing_is_looked_at(self):
         """Calm: an end that nobody waits for costs nothing."""
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         taken = self.acquire(room, "t")
         looks = []
         room.world.list_endpoints = lambda service: looks.append(service) or []
--- a/tests/relay/test_eventlog.py
+++ b/tests/relay/test_eventlog.py
@@ -45,7 +45,7 @@
             (line["instance"], line["event"], line["ready"], line["at"]),
         )
 
-    def test_a_flood_is_bounded_and_counted(self):
+    def test_lines_beyond_the_limit_are_counted(self):
         """Beyond the bound lines are dropped; the next second tells."""
         for _ in range(eventlog.LINES_PER_SECOND + 50):
             self.log.write(events.Ready(ready=True))
@@ -56,7 +56,7 @@
         self.assertEqual({"ready": 50}, dropped[0]["by_event"])
         self.assertEqual(eventlog.LINES_PER_SECOND + 2, len(lines))
 
-    def test_nobody_reads(self):
+    def test_lines_are_dropped_while_the_pipe_is_full(self):
         """The pipe is full: writing returns, and the loss is counted.
 
         Once the reader is back the lines are whole again, and one of them
--- a/tests/relay/test_explanation.py
+++ b/tests/relay/test_explanation.py
@@ -91,14 +91,14 @@
         self.assertIn("version 7", cause)
         self.assertIn("4.0 s old", cause)
 
-    def test_context_and_way(self):
+    def test_context_and_request_lines(self):
         """The store was lost a second before: the reader sees it."""
         found = self.explain()
         text = explanation.render(found)
         self.assertIn("store_lost reason=busy", text)
         self.assertLess(text.index("request_sent"), text.index("request_en"))
 
-    def test_instance_that_died(self):
+    def test_instance_died_before_the_request_ended(self):
         """The request's last line never came."""
         path = self.write((2.0, {**SENT, "request": "r"}))
         cause = explanation.explain("r", [path]).unwrap().cause
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -20,126 +20,131 @@
         self.store.put("op/config", {})
         self.ticker = clock.ManualClock(100.0)
         self.mirror = mirror_module.Mirror()
-        self.news = []
-        self.age = None
+        self.changed_keys = []
+        self.standby_age = None
         store = client.Client(self.store.address, 0.2)
         self.addCleanup(store.close)
         self.follower = follower_module.Follower(
             store,
             self.mirror,
             self.ticker,
-            lambda news: self.news.extend(i.key for i in news),
+            lambda items: self.changed_keys.extend(i.key for i in items),
             samples.make_log(self.ticker),
-            lambda: self.age,
+            lambda: self.standby_age,
         )
 
     def test_reads_once_then_watches(self):
         """A change comes by the watch, without a second read."""
-        self.assertTrue(self.follower.step())
+        self.assertTrue(self.follower.poll())
         self.store.put("servers/a", {})
-        self.assertTrue(self.follower.step())
-        self.assertEqual(["op/config", "servers/a"], self.news)
+        self.assertTrue(self.follower.poll())
+        self.assertEqual(["op/config", "servers/a"], self.changed_keys)
         self.assertEqual(
             [fakes.STORE_RANGE, fakes.STORE_WATCH], self.store.calls
         )
 
-    def test_history_is_gone(self):
+    def test_compacted_store_is_read_again(self):
         """An endpoint left in the gap: the new copy tells so."""
         self.store.put("servers/a", {})
-        self.follower.step()
+        self.follower.poll()
         self.store.delete("servers/a")
         self.store.mode = "compacted"
-        self.assertTrue(self.follower.step())
-        self.assertTrue(self.follower.step())
-        self.assertEqual("servers/a", self.news[-1])
+        self.assertTrue(self.follower.poll())
+        self.assertTrue(self.follower.poll())
+        self.assertEqual("servers/a", self.changed_keys[-1])
         self.assertEqual(["op/config"], self.mirror.list_keys())
 
-    def test_outage_is_noted_with_its_end(self):
+    def test_end_of_outage_is_recorded(self):
         """What vanishes right after an outage may only have lapsed."""
-        self.follower.step()
+        self.follower.poll()
         self.store.mode = "busy"
-        self.assertFalse(self.follower.step())
+        self.assertFalse(self.follower.poll())
         self.ticker.advance(5.0)
         self.store.mode = "well"
         self.store.put("servers/a", {})
-        self.assertTrue(self.follower.step())
-        self.assertEqual(105.0, self.follower.returned)
+        self.assertTrue(self.follower.poll())
+        self.assertEqual(105.0, self.follower.recovered_at)
 
-    def test_few_of_a_large_fleet_read(self):
+    def test_few_of_a_large_fleet_read_the_store(self):
         """Of sixty instances eight watch the store; of seven all do."""
-        for size, reading in ((60, follower_module.READERS), (7, 7)):
+        for size, reading in ((60, follower_module.READER_COUNT), (7, 7)):
             names = tuple(f"i{n}" for n in range(size))
             ages = [0.5] * reading + [-1.0] * (size - reading)
-            rests = [follower_module.rest(n, names, ages) for n in names]
-            self.assertEqual(reading, rests.count(None))
+            standby_ages = [
+                follower_module.compute_standby_age(n, names, ages)
+                for n in names
+            ]
+            self.assertEqual(reading, standby_ages.count(None))
 
-    def test_all_read_where_too_few_readers_reach_the_store(self):
+    def test_all_read_if_too_few_readers_reach_the_store(self):
         """The store turns the readers away and serves the others.
 
         Endpoints that leave would go on getting work from instances that
         wait for news which nobody can tell them.
         """
         names = tuple(f"i{n}" for n in range(60))
-        ages = [0.5] * (follower_module.MIN_SOURCES - 1) + [-1.0, 9.0] * 5
-        rests = [follower_module.rest(n, names, ages) for n in names]
-        self.assertEqual([None] * 60, rests)
+        ages = [0.5] * (follower_module.MIN_READERS - 1) + [-1.0, 9.0] * 5
+        standby_ages = [
+            follower_module.compute_standby_age(n, names, ages) for n in names
+        ]
+        self.assertEqual([None] * 60, standby_ages)
 
-    def test_resting_asks_nothing_and_goes_on_from_where_it_was(self):
+    def test_standby_makes_no_calls_and_resumes_its_watch(self):
         """Others read for this instance; when they can't, it watches."""
-        self.follower.step()
-        self.age = 1.5
-        self.assertTrue(self.follower.rest())
-        self.assertEqual(98.5, self.follower.answered)
+        self.follower.poll()
+        self.standby_age = 1.5
+        self.assertTrue(self.follower.check_standby())
+        self.assertEqual(98.5, self.follower.answered_at)
         self.store.put("servers/a", {})
-        self.age = None
-        self.assertFalse(self.follower.rest())
-        self.follower.step()
-        self.assertEqual(["op/config", "servers/a"], self.news)
+        self.standby_age = None
+        self.assertFalse(self.follower.check_standby())
+        self.follower.poll()
+        self.assertEqual(["op/config", "servers/a"], self.changed_keys)
         self.assertEqual(
             [fakes.STORE_RANGE, fakes.STORE_WATCH], self.store.calls
         )
 
-    def test_nobody_rests_before_the_first_copy(self):
+    def test_no_standby_before_the_first_read(self):
         """A started instance knows nothing that news could add to."""
-        self.age = 1.5
-        self.assertFalse(self.follower.rest())
+        self.standby_age = 1.5
+        self.assertFalse(self.follower.check_standby())
 
     def test_all_pages_are_read(self):
         """More items than one page holds."""
         self.store.page = 2
         for number in range(5):
             self.store.put(f"servers/{number}", {})
-        self.follower.step()
-        self.assertEqual(6, len(self.news))
+        self.follower.poll()
+        self.assertEqual(6, len(self.changed_keys))
 
-    def test_one_that_starts_does_not_ask_with_each_change(self):
+    def test_starting_instance_batches_changes(self):
         """Two hundred that start ask the store once for each endpoint."""
-        self.follower.step()
+        self.follower.poll()
         began = self.ticker.now()
         for number in range(4):
             self.store.put(f"servers/{number}", {})
-            self.follower.step()
+            self.follower.poll()
         passed = self.ticker.now() - began
         self.assertGreaterEqual(passed, 4 * 0.5)
 
-    def test_later_changes_are_gathered_for_a_moment_only(self):
+    def test_later_changes_are_batched_briefly(self):
         """News of an endpoint that leaves wait as long as after a start."""
-        self.follower.step()
-        self.ticker.advance(follower_module.START_SECONDS)
+        self.follower.poll()
+        self.ticker.advance(follower_module.START_PHASE_SECONDS)
         began = self.ticker.now()
         self.store.put("servers/a", {})
-        self.follower.step()
+        self.follower.poll()
         self.assertLess(self.ticker.now() - began, 0.5)
 
-    def test_those_that_leave_the_store_to_others_ask_it_seldom(self):
+    def test_standby_retries_less_often(self):
         """A store that is away is asked by hundreds as often as by eight."""
         asked = {}
         for reader in (True, False):
             self.follower._is_reader = lambda reader=reader: reader
-            self.follower._pause = follower_module.RETRY_SECONDS
+            self.follower._retry_seconds = follower_module.RETRY_SECONDS
             until = self.ticker.now() + 30.0
             asked[reader] = 0
             while self.ticker.now() < until:
-                self.follower.pause()
+                self.follower.back_off()
                 asked[reader] += 1
         self.assertLess(asked[False], 0.7 * asked[True])
--- a/tests/relay/test_fleet.py
+++ b/tests/relay/test_gossip.py
@@ -4,16 +4,16 @@
 import testtools
 
 from citronport import clock
-from citronport.relay import fleet
+from citronport.relay import gossip
 from tests import addresses
 from tests.relay import nodes
 from tests.relay import test_membership
 
 
-class SpreadTest(testtools.TestCase):
+class SendGroupsTest(testtools.TestCase):
     """Load: sixty instances on links of 10 Mbit/s."""
 
-    def test_reports_go_out_a_few_at_a_time(self):
+    def test_reports_are_sent_in_small_groups(self):
         """A limit refuses callers on a calm day, far below its rate.
 
         An instance sends its report to all others at once; its link drops
@@ -23,26 +23,26 @@
         small, and everybody is in one.
         """
         targets = [f"10.0.0.{n}:1" for n in range(59)]
-        groups = fleet.split_targets(targets)
+        groups = gossip.split_targets(targets)
         self.assertEqual(sorted(targets), sorted(sum(groups, [])))
-        self.assertLessEqual(max(map(len, groups)), fleet.SENDS_AT_ONCE)
+        self.assertLessEqual(max(map(len, groups)), gossip.GROUP_SIZE)
         self.assertGreater(len(groups), 4)
 
-    def test_who_comes_last_changes(self):
+    def test_last_target_varies(self):
         """What gets lost all the same hits other instances each time."""
         targets = [f"10.0.0.{n}:1" for n in range(59)]
-        last = {fleet.split_targets(targets)[-1][-1] for _ in range(20)}
+        last = {gossip.split_targets(targets)[-1][-1] for _ in range(20)}
         self.assertGreater(len(last), 3)
 
-    def test_nobody_to_tell(self):
+    def test_no_targets(self):
         """An instance that knows nobody has nothing to send."""
-        self.assertEqual([], fleet.split_targets([]))
+        self.assertEqual([], gossip.split_targets([]))
 
 
-class MeetingTest(testtools.TestCase):
+class DiscoveryTest(testtools.TestCase):
     """An instance that has started anew, in a small fleet."""
 
-    def test_all_meet_at_once(self):
+    def test_new_instance_is_known_at_once(self):
         """Load: callers come the moment an instance is back.
 
         The new one knows a seed only. The seed answers its first report at
@@ -53,13 +53,15 @@
         new, seed, third = (nodes.Node(self, n, subnet) for n in (1, 2, 3))
         ticker = clock.RuntimeClock()
         for one, other in ((seed, third), (third, seed)):
-            one.members.hear(other.describe(), ticker.now())
-        told = [(third.name, "1", third.address, "a")]
-        seed.fleet._describe = lambda: test_membership.make_report(
-            seed.name, number=9, peers=seed.address, members=told
+            one.members.apply_report(other.make_report(), ticker.now())
+        members = [(third.name, "1", third.address, "a")]
+        seed.gossip._make_report = lambda: test_membership.make_report(
+            seed.name, number=9, peer_address=seed.address, members=members
         )
-        new.members.learn([(seed.name, "1", seed.address, "a")], ticker.now())
-        new.fleet.send(new.describe())
+        new.members.add_members(
+            [(seed.name, "1", seed.address, "a")], ticker.now()
+        )
+        new.gossip.send_report(new.make_report())
         gevent.sleep(0.1)
         fresh = new.members.list_fresh(ticker.now())
         self.assertEqual({"i2", "i3"}, {r.instance for r in fresh})
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -32,7 +32,7 @@
         self.lost = ()
         self.heard = []
         self._net = net
-        room = self.room = samples.Room(
+        room = self.room = samples.DispatcherFixture(
             endpoints, clock.RuntimeClock(), configuration, name
         )
         self.leasing = leasing_module.Leasing(
@@ -87,7 +87,7 @@
         for node in self.net.values():
             for other in self.names:
                 report = test_membership.make_report(other)
-                node.room.members.hear(report, node.room.ticker.now())
+                node.room.members.apply_report(report, node.room.ticker.now())
         node = self.net["i0"]
         self.owner = self.net[self.find_owner(node)]
         rest = [n for n in self.net.values() if n is not self.owner]
@@ -221,7 +221,7 @@
             self.owner.name, number=9, leaving=True
         )
         now = self.one.room.ticker.now()
-        self.one.room.members.hear(report, now)
+        self.one.room.members.apply_report(report, now)
         gevent.sleep(owners_module.VIEW_SECONDS)
         second = self.net[self.find_owner(self.one)]
         self.assertIsNot(self.owner, second)
--- a/tests/relay/test_membership.py
+++ b/tests/relay/test_membership.py
@@ -15,13 +15,13 @@
         "number": number,
         "data_centre": "a",
         "capacity": 1.0,
-        "callers": f"10.0.0.1:{len(name)}",
-        "peers": f"10.0.0.{len(name)}:9",
+        "caller_address": f"10.0.0.1:{len(name)}",
+        "peer_address": f"10.0.0.{len(name)}:9",
         "ready": True,
         "leaving": False,
         "revision": 5,
         "store_seconds": 0.1,
-        "passed": {},
+        "admitted_units": {},
         "loads": [],
         "profiles": [],
         "members": [],
@@ -38,8 +38,8 @@
         """Make the view of an instance that hears of two others."""
         super().setUp()
         self.members = membership.Membership("own", "a")
-        self.members.hear(make_report("x"), 0.0)
-        self.members.hear(make_report("yy"), 0.0)
+        self.members.apply_report(make_report("x"), 0.0)
+        self.members.apply_report(make_report("yy"), 0.0)
 
     def list_usable(self, now):
         """Return the names of those that callers are sent to."""
@@ -47,71 +47,72 @@
 
     def test_silent_instance_gets_no_callers(self):
         """It was killed: two seconds later nobody is sent there."""
-        self.members.hear(make_report("x", 2), 2.0)
+        self.members.apply_report(make_report("x", 2), 2.0)
         self.assertEqual(["x"], self.list_usable(2.5))
 
     def test_leaving_or_unready_instance_gets_no_callers(self):
         """It says so itself, and is out with its next report."""
-        self.members.hear(make_report("x", 2, leaving=True), 0.1)
-        self.members.hear(make_report("yy", 2, ready=False), 0.1)
+        self.members.apply_report(make_report("x", 2, leaving=True), 0.1)
+        self.members.apply_report(make_report("yy", 2, ready=False), 0.1)
         self.assertEqual([], self.list_usable(0.2))
 
     def test_limits_count_silent_instances_for_a_while(self):
         """A cut instance may still serve callers and use its share."""
-        self.members.hear(make_report("x", 2), 5.0)
+        self.members.apply_report(make_report("x", 2), 5.0)
         self.assertEqual(("own", "x", "yy"), self.members.list_known(5.0))
         self.assertAlmostEqual(2 / 3, self.members.compute_reach(5.0))
-        self.members.hear(make_report("x", 3), 40.0)
+        self.members.apply_report(make_report("x", 3), 40.0)
         self.assertEqual(1.0, self.members.compute_reach(40.0))
 
     def test_one_that_left_does_not_count(self):
         """It said that it would leave and is silent since."""
-        self.members.hear(make_report("yy", 2, leaving=True), 0.5)
-        self.members.hear(make_report("x", 2), 2.0)
+        self.members.apply_report(make_report("yy", 2, leaving=True), 0.5)
+        self.members.apply_report(make_report("x", 2), 2.0)
         self.assertEqual(1.0, self.members.compute_reach(2.0))
 
-    def test_reports_that_overtake_each_other(self):
+    def test_out_of_order_reports(self):
         """An older report of the same start is not taken."""
-        self.assertTrue(self.members.hear(make_report("x", 5), 1.0))
-        self.assertFalse(self.members.hear(make_report("x", 4), 1.0))
+        self.assertTrue(self.members.apply_report(make_report("x", 5), 1.0))
+        self.assertFalse(self.members.apply_report(make_report("x", 4), 1.0))
         again = make_report("x", 1, incarnation="2")
-        self.assertTrue(self.members.hear(again, 2.0))
+        self.assertTrue(self.members.apply_report(again, 2.0))
 
-    def test_late_word_of_an_earlier_start(self):
+    def test_late_report_of_an_earlier_incarnation(self):
         """An envoy still tells of a process that has been started anew."""
         again = make_report("x", 1, incarnation="2")
-        self.assertTrue(self.members.hear(again, 2.0))
-        self.assertFalse(self.members.hear(make_report("x", 9), 1.5))
+        self.assertTrue(self.members.apply_report(again, 2.0))
+        self.assertFalse(self.members.apply_report(make_report("x", 9), 1.5))
 
-    def test_others_of_others(self):
+    def test_members_named_by_a_seed(self):
         """A seed tells of an instance that was not known."""
         told = [
             ("zzz", "1", "10.0.0.3:9", "a"),
             ("own", "1", "10.0.0.9:9", "a"),
         ]
-        self.members.hear(make_report("x", 2, members=told), 1.0)
+        self.members.apply_report(make_report("x", 2, members=told), 1.0)
         self.assertIn("10.0.0.3:9", self.members.list_addresses(1.0))
         self.assertNotIn("10.0.0.9:9", self.members.list_addresses(1.0))
         self.assertNotIn("zzz", self.list_usable(1.0))
 
-    def test_silent_instances_are_told_for_long(self):
+    def test_silent_instances_still_get_reports(self):
         """After a cut of a minute both parts find each other again."""
         self.assertEqual(2, len(self.members.list_addresses(60.0)))
 
     def test_a_settled_fleet_names_fewer_members(self):
         """Names cost bytes between data centres; a new one costs more."""
         for number in range(20):
-            self.members.hear(make_report(f"i{number}"), 0.0)
+            self.members.apply_report(make_report(f"i{number}"), 0.0)
         self.assertEqual(
-            membership.TOLD_MEMBERS, len(self.members.list_members(0.1))
+            membership.REPORTED_MEMBERS, len(self.members.list_members(0.1))
         )
         later = membership.SETTLED_SECONDS + 1.0
         for number in range(20):
-            self.members.hear(make_report(f"i{number}", 2), later)
+            self.members.apply_report(make_report(f"i{number}", 2), later)
         self.assertEqual(
-            membership.SETTLED_MEMBERS, len(self.members.list_members(later))
+            membership.SETTLED_REPORTED_MEMBERS,
+            len(self.members.list_members(later)),
         )
-        self.members.hear(make_report("new"), later)
+        self.members.apply_report(make_report("new"), later)
         self.assertEqual(
-            membership.TOLD_MEMBERS, len(self.members.list_members(later))
+            membership.REPORTED_MEMBERS, len(self.members.list_members(later))
         )
--- a/tests/relay/test_mirror.py
+++ b/tests/relay/test_mirror.py
@@ -18,21 +18,21 @@
 class MirrorTest(testtools.TestCase):
     """Reads, watches and neighbours."""
 
-    def test_a_copy_tells_what_is_gone(self):
+    def test_full_read_detects_deletions(self):
         """An item that a later copy lacks was deleted in between."""
         mirror = mirror_module.Mirror()
         mirror.replace([make_item("a", 1), make_item("b", 2)], 2)
         news = mirror.replace([make_item("a", 1)], 5)
         self.assertEqual([("b", None)], [(i.key, i.value) for i in news])
 
-    def test_an_old_copy_changes_nothing(self):
+    def test_outdated_read_is_ignored(self):
         """A slow answer arrives behind a newer one."""
         mirror = mirror_module.Mirror()
         mirror.replace([make_item("a", 4)], 4)
         self.assertEqual([], mirror.replace([make_item("b", 1)], 1))
         self.assertEqual(["a"], mirror.list_keys())
 
-    def test_what_was_deleted_does_not_come_back(self):
+    def test_deleted_item_does_not_reappear(self):
         """A neighbour that is behind tells an item that is gone."""
         mirror = mirror_module.Mirror()
         mirror.apply([make_item("a", 1)], 1)
@@ -40,15 +40,15 @@
         self.assertEqual([], mirror.apply([make_item("a", 2)], 3))
         self.assertEqual([], mirror.list_keys())
 
-    def test_news_of_a_neighbour(self):
+    def test_items_from_a_peer(self):
         """Changes and deletions come over; an older neighbour is ignored."""
         mirror = mirror_module.Mirror()
         mirror.apply([make_item("a", 1), make_item("b", 2)], 2)
-        news = mirror.take_news([make_item("c", 4)], {"a", "c"}, 4)
+        news = mirror.merge_peer_items([make_item("c", 4)], {"a", "c"}, 4)
         self.assertEqual(
             {"b": None, "c": b"v"}, {i.key: i.value for i in news}
         )
-        self.assertEqual([], mirror.take_news([], set(), 3))
+        self.assertEqual([], mirror.merge_peer_items([], set(), 3))
 
     @PROFILE
     @hypothesis.given(
@@ -60,7 +60,7 @@
         ),
         strategies.randoms(use_true_random=False),
     )
-    def test_any_order_ends_alike(self, changes, random):
+    def test_order_of_changes_does_not_matter(self, changes, random):
         """Changes in any order, some told twice, lead to the same copy."""
         items = [
             make_item(key, revision, b"v" if live else None)
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -47,7 +47,7 @@
     def _ask(self, wait, answer):
         start, end = self._away
         if start <= self._ticker.now() < end:
-            self._ticker.advance(wait + follower_module.ANSWER_SECONDS)
+            self._ticker.advance(wait + follower_module.ANSWER_TIMEOUT_SECONDS)
             return result.Err("no answer in time")
         self._ticker.advance(TRIP_SECONDS)
         return answer()
@@ -57,7 +57,7 @@
         now = self._ticker.now()
         if now < start < now + wait:
             # The store goes away under the question.
-            self._ticker.advance(wait + follower_module.ANSWER_SECONDS)
+            self._ticker.advance(wait + follower_module.ANSWER_TIMEOUT_SECONDS)
             return result.Err("no answer in time")
         if now >= end and revision < 2:
             return self._answer(2)
@@ -89,8 +89,8 @@
             samples.make_log(ticker),
         )
         while 2 not in known:
-            if not follower.step():
-                follower.pause()
+            if not follower.poll():
+                follower.back_off()
         return known[2] - back_at
 
     def test_change_is_in_force_soon_after_an_outage(self):
--- a/tests/relay/test_news.py
+++ b/tests/relay/test_replication.py
@@ -5,8 +5,8 @@
 
 from citronport import clock
 from citronport.platform import models
-from citronport.relay import fleet
 from citronport.relay import follower as follower_module
+from citronport.relay import gossip
 from citronport.relay import membership
 from citronport.relay import messages
 from tests import addresses
@@ -14,7 +14,7 @@
 from tests.relay import test_membership
 
 
-class NewsTest(testtools.TestCase):
+class ReplicationTest(testtools.TestCase):
     """What a reader of the store tells those that leave it to others."""
 
     def setUp(self):
@@ -24,23 +24,25 @@
         size = membership.LARGE_FLEET + 5
         names = tuple(f"i{n}" for n in range(1, size + 1))
         readers = follower_module.choose_readers(names)
-        rest = [n for n in names if n not in readers]
-        self.resting = nodes.Node(self, int(rest[0][1:]), subnet)
-        self.resting.follower.resting = True
-        tellers = fleet.ranking.choose(rest[0], readers, fleet.TELLERS)
-        self.reader = nodes.Node(self, int(tellers[0][1:]), subnet)
+        standbys = [n for n in names if n not in readers]
+        self.standby = nodes.Node(self, int(standbys[0][1:]), subnet)
+        self.standby.follower.on_standby = True
+        announcers = gossip.ranking.choose(
+            standbys[0], readers, gossip.ANNOUNCERS
+        )
+        self.reader = nodes.Node(self, int(announcers[0][1:]), subnet)
         now = clock.RuntimeClock().now()
-        for node in (self.reader, self.resting):
+        for node in (self.reader, self.standby):
             for name in names:
                 other = {
-                    n.name: n.address for n in (self.reader, self.resting)
+                    n.name: n.address for n in (self.reader, self.standby)
                 }.get(name, "127.0.0.1:1")
                 report = test_membership.make_report(
-                    name, peers=other, revision=0
+                    name, peer_address=other, revision=0
                 )
-                node.members.hear(report, now)
+                node.members.apply_report(report, now)
 
-    def test_news_arrive_at_once(self):
+    def test_change_is_fetched_at_once(self):
         """An endpoint starts to leave.
 
         The reader hears of it from the store and tells its part of the
@@ -49,17 +51,17 @@
         """
         item = models.Item(key="servers/a", value=b"{}", revision=9)
         self.reader.mirror.apply([item], 9)
-        self.reader.fleet.tell_news()
+        self.reader.gossip.announce_changes()
         gevent.sleep(0.05)
-        self.resting.news.look_for_news()
-        self.assertEqual(["servers/a"], self.resting.taken)
-        self.assertEqual(9, self.resting.mirror.revision)
+        self.standby.replication.fetch_if_behind()
+        self.assertEqual(["servers/a"], self.standby.changed_keys)
+        self.assertEqual(9, self.standby.mirror.revision)
 
-    def test_those_that_rest_tell_nobody(self):
+    def test_standby_announces_nothing(self):
         """Only readers pass news on, so that each comes twice at most."""
         item = models.Item(key="servers/a", value=b"{}", revision=9)
-        self.resting.mirror.apply([item], 9)
-        self.resting.fleet.tell_news()
+        self.standby.mirror.apply([item], 9)
+        self.standby.gossip.announce_changes()
         gevent.sleep(0.05)
         ahead = [
             r.instance
@@ -67,9 +69,9 @@
             if r.revision == 9
         ]
         self.assertEqual([], ahead)
-        self.assertIsInstance(self.resting.describe(), messages.Report)
+        self.assertIsInstance(self.standby.make_report(), messages.Report)
 
-    def test_news_that_fail_are_told(self):
+    def test_failed_fetch_is_recorded(self):
         """Another instance is ahead and can't be reached.
 
         Who looks why a change is late finds how often fetching failed, and
@@ -77,11 +79,11 @@
         """
         now = clock.RuntimeClock().now()
         report = test_membership.make_report(
-            self.reader.name, number=9, peers="127.0.0.1:1", revision=9
+            self.reader.name, number=9, peer_address="127.0.0.1:1", revision=9
         )
-        self.resting.members.hear(report, now)
-        self.resting.news.look_for_news()
-        self.assertEqual(1, self.resting.news.failed)
+        self.standby.members.apply_report(report, now)
+        self.standby.replication.fetch_if_behind()
+        self.assertEqual(1, self.standby.replication.failed)
         gevent.sleep(0.01)
-        self.assertGreater(self.resting.news.get_behind_seconds(), 0.0)
-        self.assertEqual(0, self.resting.mirror.revision)
+        self.assertGreater(self.standby.replication.get_behind_seconds(), 0.0)
+        self.assertEqual(0, self.standby.mirror.revision)
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -34,7 +34,7 @@
         }
         self.route = samples.make_route(**fields)
         service = samples.make_service(PLAIN, engine=None, cold_rate=0.0)
-        self.room = samples.Room(
+        self.room = samples.DispatcherFixture(
             [
                 samples.make_endpoint(f"e{n}", PLAIN, address=e.address)
                 for n, e in enumerate(endpoints)
--- a/tests/relay/test_copies.py
+++ b/tests/relay/test_slow_links.py
@@ -14,8 +14,8 @@
 from citronport import clock
 from citronport.platform import client
 from citronport.platform import models
-from citronport.relay import fleet
 from citronport.relay import follower as follower_module
+from citronport.relay import gossip
 from tests import addresses
 from tests.relay import fakes
 from tests.relay import nodes
@@ -57,10 +57,10 @@
 
     def _serve(self, sock, _):
         with sock, socket.create_connection(self._target) as behind:
-            asking = gevent.spawn(self._pass_question, sock, behind)
+            asking = gevent.spawn(self._forward_request, sock, behind)
             try:
                 while data := behind.recv(PIECE_BYTES):
-                    self._wait_for_room(len(data))
+                    self._throttle(len(data))
                     sock.sendall(data)
             except OSError:
                 # The one that asked has given up.
@@ -68,13 +68,13 @@
             finally:
                 asking.kill()
 
-    def _wait_for_room(self, size):
+    def _throttle(self, size):
         # Pieces leave in the order in which they came, whosesoever they are.
         now = time.monotonic()
         self._free_at = max(now, self._free_at) + size / self._rate
         gevent.sleep(self._free_at - now)
 
-    def _pass_question(self, sock, behind):
+    def _forward_request(self, sock, behind):
         # Either side may have given up.
         with contextlib.suppress(OSError):
             while data := sock.recv(PIECE_BYTES):
@@ -110,7 +110,7 @@
     return json.dumps({"version": 7, "routes": listed}).encode()
 
 
-class CopiesTest(testtools.TestCase):
+class SlowLinkTest(testtools.TestCase):
     """Ten instances that leave the store to one reader, on a slow link."""
 
     def setUp(self):
@@ -125,8 +125,8 @@
         ]
         self.number = 0
         for node in self.others:
-            node.follower.resting = True
-            self.addCleanup(gevent.spawn(node.news.catch_up).kill)
+            node.follower.on_standby = True
+            self.addCleanup(gevent.spawn(node.replication.catch_up).kill)
         self.addCleanup(gevent.spawn(self.keep_reporting).kill)
 
     def keep_reporting(self):
@@ -136,23 +136,23 @@
             report = test_membership.make_report(
                 self.reader.name,
                 number=self.number,
-                peers=self.link.address,
+                peer_address=self.link.address,
                 revision=self.reader.mirror.revision,
             )
             for node in self.others:
-                node.members.hear(report, self.ticker.now())
-            gevent.sleep(0.5 * fleet.IDLE_REPORT_SECONDS)
+                node.members.apply_report(report, self.ticker.now())
+            gevent.sleep(0.5 * gossip.IDLE_REPORT_SECONDS)
 
     def wait_for(self, key):
         """Return how many instances know an item when its time is up."""
         end = self.ticker.now() + LEAVE_SECONDS
         while self.ticker.now() < end:
-            if all(key in node.taken for node in self.others):
+            if all(key in node.changed_keys for node in self.others):
                 break
             gevent.sleep(0.02)
-        return sum(key in node.taken for node in self.others)
+        return sum(key in node.changed_keys for node in self.others)
 
-    def test_leaving_is_known_beside_a_large_configuration(self):
+    def test_leaving_endpoint_is_known_beside_a_large_configuration(self):
         """An endpoint gets a request 3.5 s after it said that it leaves.
 
         A configuration of 1,850 routes and the endpoint's word come to the
@@ -171,7 +171,7 @@
         self.assertEqual(FETCHERS, self.wait_for("servers/a"))
         self.assertEqual(FETCHERS, self.wait_for("op/config"))
 
-    def test_news_do_not_wait_for_a_copy_on_its_way(self):
+    def test_small_changes_do_not_wait_for_a_large_fetch(self):
         """A request reaches an endpoint that left during a large copy.
 
         Ten instances fetch a value that can't be made smaller; it is on
@@ -185,14 +185,16 @@
         leaving = models.Item(key="servers/a", value=b"{}", revision=9)
         self.reader.mirror.apply([leaving], 9)
         gevent.sleep(1.0)
-        knowing = [node for node in self.others if "servers/a" in node.taken]
+        knowing = [
+            node for node in self.others if "servers/a" in node.changed_keys
+        ]
         self.assertEqual(FETCHERS, len(knowing))
-        self.assertNotIn("op/config", self.others[0].taken)
+        self.assertNotIn("op/config", self.others[0].changed_keys)
         self.assertEqual(FETCHERS, self.wait_for("op/config"))
         gevent.sleep(0.3)
         self.assertEqual([9], sorted({n.mirror.revision for n in self.others}))
 
-    def test_slow_copy_is_not_begun_anew(self):
+    def test_slow_fetch_is_not_restarted(self):
         """A route that was confirmed 5 s ago is not served.
 
         The copy comes for longer than another instance may be silent; it
@@ -202,7 +204,9 @@
         large = models.Item(key="op/config", value=value, revision=8)
         self.reader.mirror.apply([large], 8)
         self.assertEqual(FETCHERS, self.wait_for("op/config"))
-        self.assertEqual(0, sum(node.news.failed for node in self.others))
+        self.assertEqual(
+            0, sum(node.replication.failed for node in self.others)
+        )
 
 
 class StartTest(testtools.TestCase):
@@ -220,7 +224,9 @@
         store = fakes.Store(self)
         store.put("op/config", make_configuration(1850))
         link = SlowLink(self, store.address, 0.5 * LINK_BYTES_PER_SECOND)
-        asking = client.Client(link.address, follower_module.ANSWER_SECONDS)
+        asking = client.Client(
+            link.address, follower_module.ANSWER_TIMEOUT_SECONDS
+        )
         self.addCleanup(asking.close)
         answer = asking.read("")
         self.assertTrue(answer.is_ok(), answer)
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -37,12 +37,12 @@
         for node in nodes:
             self.assertEqual(names - {node.name}, node.list_fresh())
 
-    def test_all_meet_after_a_start(self):
+    def test_all_in_reach_after_a_start(self):
         """A fleet that starts together does not stay in pieces."""
         self.network.run(4.0)
         self.assert_all_in_reach(self.nodes)
 
-    def test_all_meet_though_the_seeds_start_last(self):
+    def test_all_in_reach_though_the_seeds_start_last(self):
         """Each asks the seeds before they listen, and is alone for long."""
         network = networks.Network(24, 4)
         seeds = {network.nodes[address] for address in network.seeds}
@@ -55,7 +55,7 @@
         self.nodes = list(network.nodes.values())
         self.assert_all_in_reach(self.nodes)
 
-    def test_all_meet_soon_after_the_last_has_started(self):
+    def test_all_in_reach_soon_after_the_last_start(self):
         """Two data centres that ask seeds of a third one stay strangers.
 
         Starts are half a second apart, as after a loss of power; until all
@@ -83,19 +83,19 @@
             if node not in self.network.dead:
                 self.assertNotIn(self.nodes[40].name, node.list_fresh())
 
-    def test_dead_envoys_do_not_silence_their_data_centre(self):
-        """Both envoys of a data centre die; its others stay in reach."""
+    def test_dead_summary_senders_do_not_isolate_their_data_centre(self):
+        """Both senders of a data centre die; its others stay in reach."""
         self.network.run(4.0)
         now = self.network.ticker.now()
         place = self.nodes[0].data_centre
         near = [n for n in self.nodes if n.data_centre == place]
-        envoys = [n for n in near if n.members.choose_targets(now)]
-        self.network.dead = set(envoys[: membership.ENVOYS])
+        senders = [n for n in near if n.members.choose_summary_targets(now)]
+        self.network.dead = set(senders[: membership.SUMMARY_SENDERS])
         self.network.run(3.0)
         alive = [n for n in self.nodes if n not in self.network.dead]
         self.assert_all_in_reach(alive)
 
-    def test_instance_that_starts_anew_is_known_by_its_new_start(self):
+    def test_restarted_instance_is_known_by_its_new_incarnation(self):
         """Rows of the start before do not replace those of the new one."""
         self.network.run(4.0)
         again = self.nodes[20]
@@ -133,25 +133,27 @@
             for node in self.nodes:
                 self.assertEqual(rate, node.limits.get_rate("e1"))
 
-    def test_halves_find_each_other_after_a_cut(self):
+    def test_halves_rejoin_after_a_partition(self):
         """Two parts that lost each other for a minute are one again."""
         self.network.run(4.0)
         half = {n.name for n in self.nodes[:30]}
-        self.network.is_cut = lambda a, b: (a.name in half) != (b.name in half)
+        self.network.is_blocked = lambda a, b: (
+            (a.name in half) != (b.name in half)
+        )
         self.network.run(8.0)
         self.assert_all_in_reach(self.nodes[:30])
-        self.network.is_cut = lambda a, b: False
+        self.network.is_blocked = lambda a, b: False
         self.network.run(4.0)
         self.assert_all_in_reach(self.nodes)
 
-    def test_one_that_lost_the_others_is_taken_back(self):
+    def test_isolated_instance_rejoins(self):
         """An instance that was cut off comes back without a new start."""
         self.network.run(4.0)
         lost = self.nodes[7]
-        self.network.is_cut = lambda a, b: lost in (a, b)
+        self.network.is_blocked = lambda a, b: lost in (a, b)
         self.network.run(4.0)
         self.assertEqual(set(), lost.list_fresh())
-        self.network.is_cut = lambda a, b: False
+        self.network.is_blocked = lambda a, b: False
         self.network.run(2.0)
         self.assert_all_in_reach(self.nodes)
 
@@ -167,13 +169,13 @@
         network = networks.Network(instances, data_centres)
         network.run(4.0)
         for node in network.nodes.values():
-            node.heard.clear()
-        network.crosses = 0
+            node.received.clear()
+        network.cross_bytes = 0
         network.run(2.0)
         # Seeds read more until no new instance shows up any more.
         nodes = [n for a, n in network.nodes.items() if a not in network.seeds]
-        most = max(sum(n.heard.values()) for n in nodes)
-        return most / 2.0, network.crosses / 2.0
+        most = max(sum(n.received.values()) for n in nodes)
+        return most / 2.0, network.cross_bytes / 2.0
 
     def test_reading_does_not_grow_with_the_fleet(self):
         """Control that takes a part of a core for each hundred instances."""
@@ -184,11 +186,11 @@
     def test_few_bytes_go_between_data_centres(self):
         """Links between data centres that carry a report of each to each."""
         instances = 72
-        _, crosses = self.measure(instances, 6)
-        self.assertLess(crosses / instances, 6000)
+        _, cross_bytes = self.measure(instances, 6)
+        self.assertLess(cross_bytes / instances, 6000)
 
 
-class SumsTest(testtools.TestCase):
+class UsageSumsTest(testtools.TestCase):
     """Limits that are counted over data centres."""
 
     def setUp(self):
@@ -226,13 +228,13 @@
         return node.quotas._buckets["w"].level
 
     def test_what_passes_is_charged_once_everywhere(self):
-        """Two envoys that tell the same would use up a limit twice."""
+        """Two senders that tell the same would use up a limit twice."""
         self.charge(self.nodes[5], 4000.0)
         self.network.run(2.0)
         for node in self.nodes:
             self.assertAlmostEqual(6000.0, self.get_level(node), delta=1.0)
 
-    def test_change_of_envoys_neither_opens_nor_shuts_a_limit(self):
+    def test_change_of_summary_senders_counts_units_once(self):
         """An envoy dies while units pass; none counts twice or never."""
         near = [n for n in self.nodes if n.data_centre == "dc1"]
         far = next(n for n in self.nodes if n.data_centre == "dc2")
