--- a/citronport/endpoints/client.py
+++ b/citronport/endpoints/client.py
@@ -19,7 +19,7 @@
 
 _OUTPUT_TOKENS = re.compile(rb'"completion_tokens": ?(\d+)')
 _CACHED_TOKENS = re.compile(rb'"cached_tokens": ?(\d+)')
-_LOST = (OSError, http_response.HTTPParseError)
+_CONNECTION_ERRORS = (OSError, http_response.HTTPParseError)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Whole:
+class AnswerSummary:
     """What a whole answer came to.
 
     Attributes:
@@ -76,11 +76,11 @@
 )
 
 
-class _CrossedError(Exception):
+class _WrongStreamError(Exception):
     """The endpoint offers another stream than the one that was cut."""
 
 
-class _FaultError(Exception):
+class _EndpointFaultError(Exception):
     """The endpoint answered with an error."""
 
 
@@ -97,7 +97,7 @@
         call: Call,
         may_send: collections.abc.Callable[[], bool],
         deliver: collections.abc.Callable[[messages.Message], None],
-    ) -> result.Result[Whole, Failure]:
+    ) -> result.Result[AnswerSummary, Failure]:
         """Send a call once and deliver its answer piece by piece.
 
         Args:
@@ -117,8 +117,8 @@
             try:
                 request = _make_request(address, call)
                 # Connecting can wait for long; nothing has been sent.
-                opened = self._pool.take(address, start)
-            except (*_LOST, ValueError):
+                opened = self._pool.acquire(address, start)
+            except (*_CONNECTION_ERRORS, ValueError):
                 return _NOT_SENT
             try:
                 # A process that was stopped and woken acts on an old
@@ -131,46 +131,50 @@
                 if not may_send():
                     return _NOT_SENT
                 opened.send(request, call.method)
-                return result.Ok(_read(address, opened, call, deliver, end))
-            except _FaultError:
-                return _fail(errors.Code.ENDPOINT_FAULT)
-            except (*_LOST, _CrossedError):
-                return _settle_loss(address, call, end)
+                return result.Ok(
+                    _read_answer(address, opened, call, deliver, end)
+                )
+            except _EndpointFaultError:
+                return _make_failure(errors.Code.ENDPOINT_FAULT)
+            except (*_CONNECTION_ERRORS, _WrongStreamError):
+                return _handle_connection_loss(address, call, end)
             finally:
-                self._pool.give_back(address, opened)
+                self._pool.release(address, opened)
 
 
-def _settle_loss(address: str, call: Call, end: float) -> result.Err[Failure]:
+def _handle_connection_loss(
+    address: str, call: Call, end: float
+) -> result.Err[Failure]:
     if time.monotonic() < end:
-        return _fail(errors.Code.ENDPOINT_LOST)
+        return _make_failure(errors.Code.ENDPOINT_LOST)
     # Without the order the engine would go on for an answer that nobody
     # gets. A plain service knows no orders: it would run one as a call.
     if call.path == const.PATH_CHAT:
         gevent.spawn(cancel, address, call.request_id)
-    return _fail(errors.Code.DEADLINE_PASSED_RUNNING)
+    return _make_failure(errors.Code.DEADLINE_PASSED_RUNNING)
 
 
-def _read(
+def _read_answer(
     address: str,
     opened: endpoint_connection.Connection,
     call: Call,
     deliver: collections.abc.Callable[[messages.Message], None],
     end: float,
-) -> Whole:
-    reader = _Reader(call, deliver)
+) -> AnswerSummary:
+    reader = _AnswerReader(call, deliver)
     try:
-        reader.begin(opened)
-        reader.read(opened)
-    except _LOST:
+        reader.read_head(opened)
+        reader.read_body(opened)
+    except _CONNECTION_ERRORS:
         if not reader.resumable:
             raise
         opened.close()
-        deliver(messages.Cut())
-        _resume(address, reader, end)
-    return reader.finish()
+        deliver(messages.Interrupted())
+        _resume_stream(address, reader, end)
+    return reader.check_complete()
 
 
-class _Reader:
+class _AnswerReader:
     """Reads one answer, over one connection or several."""
 
     def __init__(
@@ -185,11 +189,11 @@
         self._tail = b""
         self._status = 0
 
-    def begin(self, opened: endpoint_connection.Connection) -> None:
+    def read_head(self, opened: endpoint_connection.Connection) -> None:
         """Read the head of the answer."""
         answer = opened.read_head()
         if answer.status_code >= 500:
-            raise _FaultError
+            raise _EndpointFaultError
         self._status = answer.status_code
         self.resumable = const.HEADER_RESUMABLE in answer
         content_type = answer.get("content-type", "application/json")
@@ -200,24 +204,26 @@
             )
         )
 
-    def read(self, opened: endpoint_connection.Connection) -> None:
+    def read_body(self, opened: endpoint_connection.Connection) -> None:
         """Read pieces to the end of the body."""
         pause = 0.0
         while data := opened.read():
             self._deliver(messages.Chunk(offset=self.size, data=data))
             self.size += len(data)
             self._tail = (self._tail + data)[-const.TAIL_BYTES :]
-            if opened.is_whole():
+            if opened.is_complete():
                 return
             # Load: streams of hundreds of tokens, each of which would
             # cost a turn of the loop and a system call on each side.
             # What comes during the pause is read at once after it. The
             # pause grows with the stream: a short answer must not wait
             # for tokens that it does not have.
-            pause = min(pause + const.GATHER_STEP, const.GATHER_SECONDS)
+            pause = min(
+                pause + const.COALESCE_STEP_SECONDS, const.MAX_COALESCE_SECONDS
+            )
             gevent.sleep(pause)
 
-    def finish(self) -> Whole:
+    def check_complete(self) -> AnswerSummary:
         """Check that the answer is whole.
 
         Raises:
@@ -228,36 +234,36 @@
         ended = self._tail.rstrip().endswith(const.STREAM_END)
         if self.call.stream and self._status == 200 and not ended:
             raise ConnectionResetError("closed within the stream")
-        return Whole(
+        return AnswerSummary(
             size=self.size,
             output_tokens=_find_number(_OUTPUT_TOKENS, self._tail),
             cached_tokens=_find_number(_CACHED_TOKENS, self._tail),
         )
 
 
-def _resume(address: str, reader: _Reader, end: float) -> None:
+def _resume_stream(address: str, reader: _AnswerReader, end: float) -> None:
     """Read the rest of a cut stream, from where it was cut.
 
     Nothing is run again: the engine goes on with the stream that it has,
     or says that it has none.
     """
-    until = min(end, time.monotonic() + const.RESUME_SECONDS)
+    until = min(end, time.monotonic() + const.RESUME_TIMEOUT_SECONDS)
     while True:
         try:
-            _read_rest(address, reader)
+            _request_rest(address, reader)
             return
-        except _LOST:
-            if time.monotonic() + const.RESUME_PAUSE_SECONDS > until:
+        except _CONNECTION_ERRORS:
+            if time.monotonic() + const.RESUME_RETRY_DELAY_SECONDS > until:
                 raise
-        gevent.sleep(const.RESUME_PAUSE_SECONDS)
+        gevent.sleep(const.RESUME_RETRY_DELAY_SECONDS)
 
 
-def _read_rest(address: str, reader: _Reader) -> None:
+def _request_rest(address: str, reader: _AnswerReader) -> None:
     request_id = reader.call.request_id
     path = f"{const.PATH_RESUME}?id={request_id}&offset={reader.size}"
-    opened = endpoint_connection.dial(address)
+    opened = endpoint_connection.connect(address)
     try:
-        opened.send(endpoint_connection.make_request(address, "GET", path))
+        opened.send(endpoint_connection.encode_request(address, "GET", path))
         answer = opened.read_head()
         # An answer of another request, or one that starts elsewhere,
         # would give the caller a stream with a seam in it.
@@ -266,8 +272,8 @@
             or answer.get(common.HEADER_REQUEST_ID) != request_id
             or answer.get(const.HEADER_OFFSET) != str(reader.size)
         ):
-            raise _CrossedError
-        reader.read(opened)
+            raise _WrongStreamError
+        reader.read_body(opened)
     finally:
         opened.close()
 
@@ -276,14 +282,16 @@
     """Have an endpoint stop a request; return when it says it has."""
     path = f"{const.PATH_CANCEL}?id={request_id}"
     try:
-        opened = endpoint_connection.dial(address)
+        opened = endpoint_connection.connect(address)
     except OSError:
         return
     try:
-        opened.send(endpoint_connection.make_request(address, "GET", path))
-        with gevent.Timeout(const.CONNECT_SECONDS, TimeoutError("cancel")):
+        opened.send(endpoint_connection.encode_request(address, "GET", path))
+        with gevent.Timeout(
+            const.CONNECT_TIMEOUT_SECONDS, TimeoutError("cancel")
+        ):
             opened.read_head()
-    except _LOST:
+    except _CONNECTION_ERRORS:
         # The closed connection of the call stops it as well, only later.
         return
     finally:
@@ -295,12 +303,12 @@
     # The path has been unquoted on its way in; a line end in it would
     # smuggle a second request to the endpoint.
     path = parse.quote(call.path, safe="/:@!$&'()*+,;=~", encoding="latin-1")
-    return endpoint_connection.make_request(
+    return endpoint_connection.encode_request(
         address, call.method, path, call.body, headers
     )
 
 
-def _fail(code: errors.Code) -> result.Err[Failure]:
+def _make_failure(code: errors.Code) -> result.Err[Failure]:
     return result.Err(Failure(sent=True, code=code))
 
 
--- a/citronport/endpoints/connection.py
+++ b/citronport/endpoints/connection.py
@@ -16,7 +16,7 @@
 _make_poll = monkey.get_original("select", "poll")
 
 
-class _SecondAnswerError(Exception):
+class _UnsolicitedAnswerError(Exception):
     """Another answer begins where none is awaited."""
 
 
@@ -41,12 +41,12 @@
             return
         try:
             super().feed(data)
-        except _SecondAnswerError:
+        except _UnsolicitedAnswerError:
             self._trailing_data_dropped = True
 
     def _on_message_begin(self) -> None:
         if self.message_complete and self._is_final():
-            raise _SecondAnswerError
+            raise _UnsolicitedAnswerError
         super()._on_message_begin()
 
     def _on_headers_complete(self) -> int | bool | None:
@@ -56,7 +56,7 @@
     def _is_final(self) -> bool:
         return self.headers_complete and self.status >= 200
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Return the part of the body that came since the last call."""
         data = bytes(self._body_buffer)
         self._body_buffer.clear()
@@ -92,7 +92,7 @@
         self._answer = Answer(method)
         self._sock.sendall(request)
 
-    def send_watching(self, request: bytes) -> None:
+    def send_until_answered(self, request: bytes) -> None:
         """Send a long request, but stop as soon as an answer comes.
 
         An endpoint may refuse a request before it has read the body, and
@@ -137,7 +137,7 @@
             geventhttpclient.response.HTTPParseError: not HTTP.
         """
         answer = self._answer
-        while not (data := answer.take()) and not answer.message_complete:
+        while not (data := answer.take_body()) and not answer.message_complete:
             if not self._receive():
                 # A body without a length ends with the connection; any
                 # other one that ends here was cut.
@@ -161,15 +161,15 @@
         """Return whether the endpoint has not closed its side yet."""
         return not _poll(self._sock, select.POLLRDHUP)
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether it is open and nothing came unasked."""
         return not _poll(self._sock, select.POLLRDHUP | select.POLLIN)
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the body came to its end."""
         return self._answer.message_complete
 
-    def may_be_kept(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether another request may be sent on it."""
         answer = self._answer
         return answer.message_complete and not answer.should_close()
@@ -184,8 +184,10 @@
         return bool(data)
 
 
-def dial(
-    address: str, start: int = 0, seconds: float = const.CONNECT_SECONDS
+def connect(
+    address: str,
+    start: int = 0,
+    timeout: float = const.CONNECT_TIMEOUT_SECONDS,
 ) -> Connection:
     """Open a connection within so many seconds.
 
@@ -193,7 +195,7 @@
         OSError: the endpoint cannot be reached.
     """
     host, port = address.rsplit(":", 1)
-    sock = socket.create_connection((host, int(port)), timeout=seconds)
+    sock = socket.create_connection((host, int(port)), timeout=timeout)
     sock.settimeout(None)
     # A small write would else wait for the acknowledgement of the one
     # before it, which the other side may hold back for 40 ms.
@@ -211,7 +213,7 @@
     return "chunked" in str(answer.get("transfer-encoding", "")).lower()
 
 
-def make_request(
+def encode_request(
     address: str,
     method: str,
     path: str,
@@ -224,9 +226,9 @@
         ValueError: a part of it could smuggle a second request.
     """
     fields = {"Host": address, **(headers or {})}
-    head = _BUILDER._build_request(method, path, body, fields)
+    head = _HEAD_BUILDER._build_request(method, path, body, fields)
     return head.encode("latin-1") + body
 
 
-_BUILDER = geventhttpclient.HTTPClient("endpoint")
+_HEAD_BUILDER = geventhttpclient.HTTPClient("endpoint")
 """Only builds heads, checked against smuggling; it never connects."""
--- a/citronport/endpoints/const.py
+++ b/citronport/endpoints/const.py
@@ -13,36 +13,36 @@
 HEADER_OFFSET: Final = "X-Offset"
 """Where a resumed stream starts, bytes from the start of the answer."""
 
-CONNECT_SECONDS: Final = 2.0
-REPORT_SECONDS: Final = 0.5
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
+REPORT_INTERVAL_SECONDS: Final = 0.5
 """Pause between two load reports of one endpoint."""
 
-REDIAL_SECONDS: Final = 0.25
+RECONNECT_DELAY_SECONDS: Final = 0.25
 """Pause before an endpoint that cannot be reached is dialled again."""
 
-RESUME_SECONDS: Final = 2.0
+RESUME_TIMEOUT_SECONDS: Final = 2.0
 """How long a cut stream is asked for again; engines keep it for longer."""
 
-RESUME_PAUSE_SECONDS: Final = 0.1
+RESUME_RETRY_DELAY_SECONDS: Final = 0.1
 
-IDLE_SECONDS: Final = 2.0
+MAX_IDLE_SECONDS: Final = 2.0
 """How long an unused connection is kept.
 
 Usual servers close one after 5 s or more. A request that is sent while the
 other side closes has an unknown outcome, and it is never sent again.
 """
 
-IDLE_CONNECTIONS: Final = 64
+MAX_IDLE_CONNECTIONS: Final = 64
 """Unused connections kept to one endpoint; more are closed at once."""
 
-GATHER_SECONDS: Final = 0.03
+MAX_COALESCE_SECONDS: Final = 0.03
 """Longest time a token waits for others before it is read.
 
 Well under the 53 ms that callers may wait between two tokens; more saves
 little (docs/design/relay.md has the figures).
 """
 
-GATHER_STEP: Final = 0.002
+COALESCE_STEP_SECONDS: Final = 0.002
 """How much the wait grows with each piece of a stream, seconds."""
 
 READ_BYTES: Final = 65536
--- a/citronport/endpoints/messages.py
+++ b/citronport/endpoints/messages.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Cut:
+class Interrupted:
     """The connection broke; the rest may still come over another one."""
 
 
@@ -49,4 +49,4 @@
     refusal: errors.Refusal
 
 
-Message = Started | Chunk | Cut | Finished | Refused
+Message = Started | Chunk | Interrupted | Finished | Refused
--- a/citronport/endpoints/watch.py
+++ b/citronport/endpoints/monitors.py
@@ -21,7 +21,7 @@
 LOG = "endpoints:"
 
 
-class Watch:
+class EndpointMonitor:
     """Watches one endpoint.
 
     Args:
@@ -29,7 +29,7 @@
         address: "ip:port".
         ticker: the clock.
         post: takes the events.
-        make_start: gives each start that is seen its number.
+        allocate_start: gives each start that is seen its number.
     """
 
     def __init__(
@@ -38,17 +38,17 @@
         address: str,
         ticker: clock.Clock,
         post: collections.abc.Callable[[models.Event], None],
-        make_start: collections.abc.Callable[[], int],
+        allocate_start: collections.abc.Callable[[], int],
     ) -> None:
         self.address = address
         self._endpoint = endpoint
         self._ticker = ticker
         self._post = post
-        self._make_start = make_start
-        self._opened: connection.Connection | None = None
+        self._allocate_start = allocate_start
+        self._connection: connection.Connection | None = None
         self._start = 0
-        self._told = ""
-        self._cache_number = 0
+        self._reported_start = ""
+        self._last_cache_event = 0
 
     def is_current(self, start: int) -> bool:
         """Return whether a start of the endpoint still runs.
@@ -56,38 +56,42 @@
         Asks the socket, so that an end is seen also when the task that
         watches has not had its turn.
         """
-        opened = self._opened
+        opened = self._connection
         return opened is not None and start == self._start and opened.is_open()
 
-    def serve(self) -> None:
+    def run(self) -> None:
         """Watch until killed."""
         try:
             while True:
-                self._follow()
-                self._ticker.sleep(const.REDIAL_SECONDS)
+                self._poll_reports()
+                self._ticker.sleep(const.RECONNECT_DELAY_SECONDS)
         finally:
-            self._lose()
+            self._disconnect()
 
-    def _follow(self) -> None:
+    def _poll_reports(self) -> None:
         try:
-            self._opened = connection.dial(self.address)
+            self._connection = connection.connect(self.address)
             while True:
-                asked = self._ticker.now()
-                with gevent.Timeout(const.CONNECT_SECONDS, TimeoutError()):
-                    raw = self._ask(self._opened)
-                self._take_report(raw, asked)
-                if self._opened.wait_until_closed(const.REPORT_SECONDS):
+                requested_at = self._ticker.now()
+                with gevent.Timeout(
+                    const.CONNECT_TIMEOUT_SECONDS, TimeoutError()
+                ):
+                    raw = self._fetch_report(self._connection)
+                self._handle_report(raw, requested_at)
+                if self._connection.wait_until_closed(
+                    const.REPORT_INTERVAL_SECONDS
+                ):
                     return
         except (OSError, http_response.HTTPParseError, ValueError) as error:
             logging.info(
                 "%s %s: %s.", LOG, self._endpoint, type(error).__name__
             )
         finally:
-            self._lose()
+            self._disconnect()
 
-    def _ask(self, opened: connection.Connection) -> dict[str, Any]:
-        path = f"{const.PATH_LOAD}?cache_after={self._cache_number}"
-        opened.send(connection.make_request(self.address, "GET", path))
+    def _fetch_report(self, opened: connection.Connection) -> dict[str, Any]:
+        path = f"{const.PATH_LOAD}?cache_after={self._last_cache_event}"
+        opened.send(connection.encode_request(self.address, "GET", path))
         answer = opened.read_head()
         parts = []
         while data := opened.read():
@@ -97,16 +101,16 @@
             raise ValueError("no load report")
         return raw
 
-    def _take_report(self, raw: dict[str, Any], asked: float) -> None:
-        told = str(raw.get("start", ""))
-        if self._start and told != self._told:
+    def _handle_report(self, raw: dict[str, Any], requested_at: float) -> None:
+        reported = str(raw.get("start", ""))
+        if self._start and reported != self._reported_start:
             # Another process answers behind the same connection, as
             # behind a relay: a start all the same.
-            self._lose()
+            self._disconnect()
             raise ConnectionResetError("another start")
         if not self._start:
-            self._told = told
-            self._start = self._make_start()
+            self._reported_start = reported
+            self._start = self._allocate_start()
             self._post(
                 models.EndpointConnected(
                     endpoint=self._endpoint, start=self._start
@@ -114,40 +118,40 @@
             )
         # The answer may have lain in a buffer while this process was
         # stopped: it is as old as the question.
-        report = make_report(raw, self._ticker.now() - asked)
+        report = parse_report(raw, self._ticker.now() - requested_at)
         self._post(
             models.EndpointReported(endpoint=self._endpoint, report=report)
         )
         if "cache" in raw:
-            self._take_cache(raw["cache"])
+            self._handle_cache_events(raw["cache"])
 
-    def _take_cache(self, raw: dict[str, Any]) -> None:
+    def _handle_cache_events(self, raw: dict[str, Any]) -> None:
         events = raw["events"]
         numbers = [int(event["number"]) for event in events]
         if not numbers:
             return
-        expected = self._cache_number + 1
-        self._cache_number = numbers[-1]
+        expected = self._last_cache_event + 1
+        self._last_cache_event = numbers[-1]
         self._post(
             models.CacheReported(
                 endpoint=self._endpoint,
-                stored=_join(events, "stored"),
-                evicted=_join(events, "evicted"),
+                stored=_collect_hashes(events, "stored"),
+                evicted=_collect_hashes(events, "evicted"),
                 gap=numbers != list(range(expected, numbers[-1] + 1)),
             )
         )
 
-    def _lose(self) -> None:
-        opened, self._opened = self._opened, None
+    def _disconnect(self) -> None:
+        opened, self._connection = self._connection, None
         known, self._start = self._start, 0
-        self._cache_number = 0
+        self._last_cache_event = 0
         if opened is not None:
             opened.close()
         if known:
             self._post(models.EndpointLost(endpoint=self._endpoint))
 
 
-class Watches:
+class EndpointMonitors:
     """The watches of the endpoints that this instance owns."""
 
     def __init__(
@@ -157,47 +161,53 @@
     ) -> None:
         self._ticker = ticker
         self._post = post
-        self._starts = 0
-        self._watches: dict[str, tuple[Watch, gevent.Greenlet]] = {}
+        self._last_start = 0
+        self._monitors: dict[str, tuple[EndpointMonitor, gevent.Greenlet]] = {}
 
     def assign(self, endpoints: dict[str, str]) -> None:
         """Watch these endpoints, by name and "ip:port", and no others."""
-        for name, (watch, task) in list(self._watches.items()):
-            if endpoints.get(name) != watch.address:
-                del self._watches[name]
+        for name, (monitor, task) in list(self._monitors.items()):
+            if endpoints.get(name) != monitor.address:
+                del self._monitors[name]
                 task.kill(block=False)
         for name, address in endpoints.items():
-            if name not in self._watches:
-                watch = Watch(
-                    name, address, self._ticker, self._post, self._make_start
+            if name not in self._monitors:
+                monitor = EndpointMonitor(
+                    name,
+                    address,
+                    self._ticker,
+                    self._post,
+                    self._allocate_start,
                 )
-                self._watches[name] = (watch, gevent.spawn(watch.serve))
+                self._monitors[name] = (monitor, gevent.spawn(monitor.run))
 
     def is_current(self, endpoint: str, start: int) -> bool:
         """Return whether a start of an endpoint still runs."""
-        known = self._watches.get(endpoint)
+        known = self._monitors.get(endpoint)
         return known is not None and known[0].is_current(start)
 
-    def _make_start(self) -> int:
-        self._starts += 1
-        return self._starts
+    def _allocate_start(self) -> int:
+        self._last_start += 1
+        return self._last_start
 
 
-def make_report(raw: dict[str, Any], waited: float) -> models.LoadReport:
+def parse_report(raw: dict[str, Any], elapsed: float) -> models.LoadReport:
     """Return a load report as the decisions see it.
 
     Args:
         raw: the report.
-        waited: seconds since it was asked for.
+        elapsed: seconds since it was asked for.
     """
     return models.LoadReport(
         running=int(raw.get("running", 0)),
         queued=int(raw.get("queued", 0)),
         cold=bool(raw.get("cold", False)),
-        age=float(raw.get("age", 0.0)) + waited,
+        age=float(raw.get("age", 0.0)) + elapsed,
         received=int(raw.get("received", 0)),
     )
 
 
-def _join(events: list[dict[str, Any]], part: str) -> tuple[int, ...]:
-    return tuple(int(b) for event in events for b in event.get(part, ()))
+def _collect_hashes(
+    events: list[dict[str, Any]], field: str
+) -> tuple[int, ...]:
+    return tuple(int(b) for event in events for b in event.get(field, ()))
--- a/citronport/endpoints/pool.py
+++ b/citronport/endpoints/pool.py
@@ -18,34 +18,34 @@
         self._idle: dict[str, list[connection.Connection]] = {}
         self._next_sweep = 0.0
 
-    def take(self, address: str, start: int) -> connection.Connection:
+    def acquire(self, address: str, start: int) -> connection.Connection:
         """Return a connection to one start of an endpoint.
 
         Raises:
             OSError: the endpoint cannot be reached.
         """
         idle = self._idle.get(address, [])
-        oldest = time.monotonic() - const.IDLE_SECONDS
+        oldest = time.monotonic() - const.MAX_IDLE_SECONDS
         while idle:
             kept = idle.pop()
             fresh = kept.start == start and kept.idle_since > oldest
-            if fresh and kept.is_quiet():
+            if fresh and kept.is_idle():
                 return kept
             kept.close()
-        return connection.dial(address, start)
+        return connection.connect(address, start)
 
-    def give_back(self, address: str, used: connection.Connection) -> None:
+    def release(self, address: str, used: connection.Connection) -> None:
         """Keep a connection whose answer came whole, close any other."""
         idle = self._idle.setdefault(address, [])
         now = time.monotonic()
-        if used.may_be_kept() and len(idle) < const.IDLE_CONNECTIONS:
+        if used.is_reusable() and len(idle) < const.MAX_IDLE_CONNECTIONS:
             used.idle_since = now
             idle.append(used)
         else:
             used.close()
         if now > self._next_sweep:
-            self._next_sweep = now + const.IDLE_SECONDS
-            self._sweep(now - const.IDLE_SECONDS)
+            self._next_sweep = now + const.MAX_IDLE_SECONDS
+            self._sweep(now - const.MAX_IDLE_SECONDS)
 
     def _sweep(self, oldest: float) -> None:
         for address, idle in list(self._idle.items()):
--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -223,7 +223,7 @@
 
         def deliver(message: messages.Message) -> None:
             nonlocal first
-            if isinstance(message, messages.Cut):
+            if isinstance(message, messages.Interrupted):
                 # Told at once: a cut is the first sign of an endpoint that
                 # started over, and asking for the rest takes a while in
                 # which a cold start would be given more.
--- a/citronport/platform/client.py
+++ b/citronport/platform/client.py
@@ -105,11 +105,11 @@
 
     def _exchange(self, target: str, wait: float) -> tuple[int, bytes]:
         with gevent.Timeout(wait + self._seconds, TimeoutError):
-            if self._connection is None or not self._connection.is_quiet():
+            if self._connection is None or not self._connection.is_idle():
                 self.close()
-                self._connection = connection.dial(self._address)
+                self._connection = connection.connect(self._address)
             used = self._connection
-            used.send(connection.make_request(self._address, "GET", target))
+            used.send(connection.encode_request(self._address, "GET", target))
             status = used.read_head().status_code
         parts = []
         # Each piece has its own time: a large answer on a slow link takes
@@ -118,7 +118,7 @@
         while data := self._read_piece(used):
             parts.append(data)
             self.received += len(data)
-        if not used.may_be_kept():
+        if not used.is_reusable():
             self.close()
         return status, b"".join(parts)
 
--- a/citronport/relay/upstream.py
+++ b/citronport/relay/upstream.py
@@ -80,8 +80,8 @@
     def open(self) -> Unreachable | None:
         """Connect to the endpoint."""
         try:
-            self._connection = connection.dial(
-                self._address, seconds=CONNECT_SECONDS
+            self._connection = connection.connect(
+                self._address, timeout=CONNECT_SECONDS
             )
         except OSError as error:
             return Unreachable(reason=type(error).__name__)
@@ -135,4 +135,4 @@
                 if not used.has_input():
                     raise
             return
-        used.send_watching(request)
+        used.send_until_answered(request)
--- a/tests/endpoints/test_client.py
+++ b/tests/endpoints/test_client.py
@@ -216,12 +216,12 @@
         """A connection to an earlier start is never used for a later one."""
         address = self.serve(lambda sock, _: sock.recv(9))
         kept = pool.Pool()
-        first = kept.take(address, 1)
-        first.may_be_kept = lambda: True
-        kept.give_back(address, first)
-        self.assertIs(first, kept.take(address, 1))
-        kept.give_back(address, first)
-        self.assertIsNot(first, kept.take(address, 2))
+        first = kept.acquire(address, 1)
+        first.is_reusable = lambda: True
+        kept.release(address, first)
+        self.assertIs(first, kept.acquire(address, 1))
+        kept.release(address, first)
+        self.assertIsNot(first, kept.acquire(address, 2))
 
     def test_answer_to_head_has_no_body(self):
         """The length that it announces is not waited for."""
@@ -239,7 +239,7 @@
         """A header value with a line end makes no second request."""
         self.assertRaises(
             ValueError,
-            connection.make_request,
+            connection.encode_request,
             "127.0.0.1:1",
             "POST",
             "/",
--- a/tests/endpoints/test_watch.py
+++ b/tests/endpoints/test_monitors.py
@@ -8,14 +8,14 @@
 import testtools
 
 from citronport import clock
-from citronport.endpoints import watch
+from citronport.endpoints import monitors
 from citronport.scheduler import models
 
 ADDRESS = "127.72.0.2"
 NAME = "engine-1"
 
 
-class WatchTest(testtools.TestCase):
+class MonitorTest(testtools.TestCase):
     """One endpoint on a socket of this process is watched."""
 
     def setUp(self):
@@ -27,10 +27,12 @@
         listening.start()
         self.addCleanup(listening.stop, 1)
         self.events = queue.Queue()
-        self.watches = watch.Watches(clock.RuntimeClock(), self.events.put)
+        self.monitors = monitors.EndpointMonitors(
+            clock.RuntimeClock(), self.events.put
+        )
         address = f"{ADDRESS}:{listening.server_port}"
-        self.watches.assign({NAME: address})
-        self.addCleanup(self.watches.assign, {})
+        self.monitors.assign({NAME: address})
+        self.addCleanup(self.monitors.assign, {})
 
     def handle(self, sock, _):
         """Answer load reports on one connection."""
@@ -50,7 +52,7 @@
     def test_report_comes_after_the_start(self):
         """A start is told first, then its load."""
         start = self.events.get(timeout=5).start
-        self.assertTrue(self.watches.is_current(NAME, start))
+        self.assertTrue(self.monitors.is_current(NAME, start))
         report = self.events.get(timeout=5).report
         self.assertEqual((3, True), (report.running, report.cold))
 
@@ -65,11 +67,11 @@
         start = self.wait_for(models.EndpointConnected).start
         self.wait_for(models.EndpointReported)
         self.connections[0].shutdown(2)
-        self.assertFalse(self.watches.is_current(NAME, start))
+        self.assertFalse(self.monitors.is_current(NAME, start))
         self.wait_for(models.EndpointLost)
         later = self.wait_for(models.EndpointConnected).start
         self.assertNotEqual(start, later)
-        self.assertFalse(self.watches.is_current(NAME, start))
+        self.assertFalse(self.monitors.is_current(NAME, start))
 
     def test_other_start_behind_the_same_connection(self):
         """A report that names another start is a loss and a start."""
@@ -93,7 +95,7 @@
     def test_endpoint_no_longer_owned_is_left_alone(self):
         """Its connection ends, and no start counts as current."""
         start = self.wait_for(models.EndpointConnected).start
-        self.watches.assign({})
+        self.monitors.assign({})
         self.wait_for(models.EndpointLost)
         gevent.sleep(0)
-        self.assertFalse(self.watches.is_current(NAME, start))
+        self.assertFalse(self.monitors.is_current(NAME, start))
