--- a/citronport/core.py
+++ b/citronport/core.py
@@ -110,7 +110,7 @@
             self.published,
             self.name,
             lambda: self._leaving,
-            self.gossip.find_silent,
+            self.gossip.get_silent_instances,
             lambda: self.assignment.current.owners,
             ticker,
         )
@@ -148,7 +148,7 @@
         self._drain(callers)
         callers.stop(timeout=LINGER_SECONDS)
         peer_server.stop(timeout=0)
-        self.peers.flush(LINGER_SECONDS)
+        self.peers.close_links(LINGER_SECONDS)
         logging.info("%s %s is down.", LOG, self.name)
 
     def stop(self) -> None:
@@ -221,7 +221,7 @@
                 catalogue_const.PATH_CATALOGUE,
                 catalogue_const.WATCH_SECONDS,
                 lambda asked, version: None,
-                self.gossip.is_reader,
+                self.gossip.reads_from_platform,
             ),
             (
                 catalogue_const.PATH_INSTANCES,
@@ -244,7 +244,7 @@
                 self.telemetry.counts.note_read,
                 is_reader,
             )
-        self.tasks.keep("peer reports", self.gossip.serve)
+        self.tasks.keep("peer reports", self.gossip.report_forever)
         self.tasks.keep("keeper", self.keeper.sweep_forever)
         self.tasks.require("assignment", self.assignment.serve)
         self.tasks.require("executor", self.executor.serve)
@@ -261,7 +261,7 @@
     def _is_ready(self) -> bool:
         if not (self.published.fleet and self.published.instances):
             return False
-        if not self.gossip.has_heard_all():
+        if not self.gossip.has_synced():
             return False
         return self.assignment.current.owned <= self._connected
 
@@ -332,7 +332,7 @@
     def _take_message(
         self, sender: str, message: messages.Message
     ) -> messages.Message | None:
-        return self.gossip.take(sender, message)
+        return self.gossip.handle_message(sender, message)
 
     def _take_submission(self, work: runs.Work) -> runs.Run:
         telemetry.note_caller(work)
--- a/citronport/instances/gossip.py
+++ b/citronport/instances/gossip.py
@@ -45,42 +45,44 @@
         self._ticker = ticker
         self._summarize = summarize
         self._post = post
-        self._members = membership.Membership()
+        self._failure_detector = membership.FailureDetector()
         self._neighbours: set[str] = set()
         self._silent: frozenset[str] = frozenset()
-        self._answered: set[str] = set()
-        self._asked: dict[str, tuple[int, float]] = {}
-        published.listen(self._spread)
+        self._synced: set[str] = set()
+        self._requested: dict[str, tuple[int, float]] = {}
+        published.listen(self._announce_change)
 
-    def find_silent(self) -> frozenset[str]:
+    def get_silent_instances(self) -> frozenset[str]:
         """Return the names of the instances out of reach."""
         return self._silent
 
-    def has_heard_all(self) -> bool:
+    def has_synced(self) -> bool:
         """Return whether no neighbour is known to have newer values.
 
         A new instance may be told old values by a platform that is stale;
         what was in force before it started, its neighbours know.
         """
-        return self._neighbours - self._silent <= self._answered
+        return self._neighbours - self._silent <= self._synced
 
-    def serve(self) -> None:
+    def report_forever(self) -> None:
         """Report to the neighbours for ever."""
         while True:
             self.report()
-            self._ticker.sleep(self._get_pause())
+            self._ticker.sleep(self._get_report_interval())
 
-    def _get_pause(self) -> float:
-        if len(self._published.instances) <= const.SMALL_FLEET:
-            return const.REPORT_SECONDS
-        return const.LARGE_REPORT_SECONDS
+    def _get_report_interval(self) -> float:
+        if len(self._published.instances) <= const.FULL_MESH_INSTANCES:
+            return const.REPORT_INTERVAL_SECONDS
+        return const.RING_REPORT_INTERVAL_SECONDS
 
     def report(self) -> None:
         """Report once and look at who is out of reach."""
         now = self._ticker.now()
-        self._links.connect(self._published.instances, self._neighbours)
-        silent = self._members.find_silent(now, self._get_pause())
-        self._note_silent(frozenset(silent))
+        self._links.update_links(self._published.instances, self._neighbours)
+        silent = self._failure_detector.find_silent(
+            now, self._get_report_interval()
+        )
+        self._update_silent(frozenset(silent))
         self._links.broadcast(
             messages.Report(
                 sent=now,
@@ -91,40 +93,40 @@
             self._neighbours,
         )
 
-    def take(
+    def handle_message(
         self, sender: str, message: messages.Message
     ) -> messages.Message | None:
         """Take a message of another instance; return the answer to it."""
         now = self._ticker.now()
-        self._members.note_heard(sender, now)
+        self._failure_detector.record_contact(sender, now)
         match message:
             case messages.Report():
-                return self._take_report(sender, message)
+                return self._handle_report(sender, message)
             case messages.Echo():
-                if not self._compare(sender, message.versions):
-                    self._answered.add(sender)
+                if not self._request_newer(sender, message.versions):
+                    self._synced.add(sender)
                 version = message.versions.get(
                     catalogue_const.PATH_INSTANCES, 0
                 )
                 self._owners.note_contact(sender, message.sent, version)
             case messages.Want():
-                self._answer_want(sender, message)
+                self._handle_want(sender, message)
             case messages.Difference():
-                self._take_difference(sender, message)
+                self._handle_difference(sender, message)
             case messages.Value():
                 self._published.offer(
                     catalogue_client.Published(**dataclasses.asdict(message))
                 )
             case messages.Release():
-                self._take_release(message)
+                self._handle_release(message)
         return None
 
-    def _take_report(
+    def _handle_report(
         self, sender: str, message: messages.Report
     ) -> messages.Message:
         now = self._ticker.now()
-        self._members.note_told(message.silent, now)
-        self._compare(sender, message.versions)
+        self._failure_detector.record_relayed_silence(message.silent, now)
+        self._request_newer(sender, message.versions)
         summary = models.InstanceSummary(**message.summary)
         self._owners.update_leaving(summary.instance, summary.leaving, now)
         self._post(models.InstanceReported(summary=summary))
@@ -132,25 +134,28 @@
             sent=message.sent, versions=self._published.get_versions()
         )
 
-    def _compare(self, sender: str, versions: dict[str, int]) -> bool:
+    def _request_newer(self, sender: str, versions: dict[str, int]) -> bool:
         """Ask for what is newer there; return whether anything is."""
         mine = self._published.get_versions()
         newer = {p: v for p, v in versions.items() if v > mine.get(p, 0)}
         for path in newer:
-            self._ask(sender, path, mine.get(path, 0))
+            self._request_value(sender, path, mine.get(path, 0))
         return bool(newer)
 
-    def _ask(self, sender: str, path: str, version: int) -> None:
+    def _request_value(self, sender: str, path: str, version: int) -> None:
         # All neighbours tell of a change at about the same time; the value
         # comes from one of them, and from another if that one fails.
         now = self._ticker.now()
-        known, asked = self._asked.get(path, (-1, float("-inf")))
-        if known == version and now - asked < const.ASK_AGAIN_SECONDS:
+        known, requested_at = self._requested.get(path, (-1, float("-inf")))
+        if (
+            known == version
+            and now - requested_at < const.VALUE_REQUEST_TIMEOUT_SECONDS
+        ):
             return
-        self._asked[path] = (version, now)
+        self._requested[path] = (version, now)
         self._links.send(sender, messages.Want(path=path, version=version))
 
-    def _answer_want(self, sender: str, message: messages.Want) -> None:
+    def _handle_want(self, sender: str, message: messages.Want) -> None:
         known = self._published.get(message.path)
         if known is None or known.version <= message.version:
             return
@@ -164,7 +169,7 @@
             value = messages.Value(**dataclasses.asdict(known))
             self._links.send(sender, value)
 
-    def _take_difference(
+    def _handle_difference(
         self, sender: str, message: messages.Difference
     ) -> None:
         fields = dataclasses.asdict(message)
@@ -172,7 +177,7 @@
         if not self._published.offer_delta(path, delta.Delta(**fields)):
             self._links.send(sender, messages.Want(path=path, version=0))
 
-    def is_reader(self, path: str) -> bool:
+    def reads_from_platform(self, path: str) -> bool:
         """Return whether this instance is to watch a published value.
 
         Load: hundreds of instances and a catalogue of up to a megabyte.
@@ -181,8 +186,8 @@
         rendezvous hash, read it; all others get differences from peers.
         """
         instances = self._published.instances
-        me = instances.get(self._links.me.instance)
-        if me is None or len(instances) <= const.SMALL_FLEET:
+        me = instances.get(self._links.hello.instance)
+        if me is None or len(instances) <= const.FULL_MESH_INSTANCES:
             return True
         names = [
             i.name
@@ -192,24 +197,26 @@
         ranked = ownership.rank_instances(path, names)
         return me.name in ranked[: catalogue_const.READERS_PER_DATA_CENTRE]
 
-    def _take_release(self, message: messages.Release) -> None:
+    def _handle_release(self, message: messages.Release) -> None:
         mine = self._published.get_versions()
         # A release that lay in a buffer while the list moved on says
         # nothing of whoever owned the endpoint in between.
         if message.list_version == mine.get(catalogue_const.PATH_INSTANCES):
             self._owners.note_release(message.endpoint)
 
-    def _note_silent(self, silent: frozenset[str]) -> None:
+    def _update_silent(self, silent: frozenset[str]) -> None:
         for name in silent - self._silent:
             self._post(models.InstanceGone(instance=name))
         self._silent = silent
 
-    def _spread(self, path: str) -> None:
+    def _announce_change(self, path: str) -> None:
         if path == catalogue_const.PATH_INSTANCES:
-            me = self._links.me.instance
+            me = self._links.hello.instance
             names = set(self._published.instances)
             self._neighbours = membership.choose_neighbours(me, names)
-            self._members.set_neighbours(self._neighbours, self._ticker.now())
+            self._failure_detector.set_neighbours(
+                self._neighbours, self._ticker.now()
+            )
         # A change is in force everywhere within seconds also where only
         # one instance can read the platform: it tells at once instead of
         # at its next turn.
--- a/citronport/instances/link.py
+++ b/citronport/instances/link.py
@@ -52,9 +52,9 @@
         """End the stream after what is queued has been written."""
         self._outbox.put(None)
 
-    def wait(self, seconds: float | None = None) -> None:
+    def wait(self, timeout: float | None = None) -> None:
         """Return when the stream is gone, or after so many seconds."""
-        gevent.joinall(self._tasks, timeout=seconds)
+        gevent.joinall(self._tasks, timeout=timeout)
 
     def _write(self) -> None:
         while True:
@@ -71,7 +71,7 @@
                 break
             if None in parts:
                 break
-        self._shut()
+        self._close_socket()
 
     def _read(self) -> None:
         unpacker = messages.make_unpacker()
@@ -82,14 +82,14 @@
                     break
                 unpacker.feed(data)
                 for raw in unpacker:
-                    self._take(messages.decode(raw))
+                    self._handle_message(messages.decode(raw))
         except (OSError, ValueError, msgpack.exceptions.UnpackException):
             pass
         finally:
-            self._shut()
+            self._close_socket()
             self._deliver(self, Closed())
 
-    def _take(self, message: messages.Message) -> None:
+    def _handle_message(self, message: messages.Message) -> None:
         if isinstance(message, messages.Hello):
             if message.protocol != const.PROTOCOL:
                 raise ValueError("other protocol version")
@@ -98,7 +98,7 @@
             raise ValueError("no greeting")
         self._deliver(self, message)
 
-    def _shut(self) -> None:
+    def _close_socket(self) -> None:
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
--- a/citronport/instances/membership.py
+++ b/citronport/instances/membership.py
@@ -5,7 +5,7 @@
 from citronport.instances import const
 
 
-def choose_neighbours(me: str, names: set[str]) -> set[str]:
+def choose_neighbours(own_name: str, names: set[str]) -> set[str]:
     """Return the instances to report to.
 
     Load: a fleet of up to some hundred instances. Harm: links from each
@@ -16,48 +16,50 @@
     has binary digits.
 
     Args:
-        me: name of this instance.
+        own_name: name of this instance.
         names: all instances on the list.
     """
-    others = names - {me}
-    if len(others) < const.SMALL_FLEET:
+    others = names - {own_name}
+    if len(others) < const.FULL_MESH_INSTANCES:
         return others
-    ring = sorted(names | {me}, key=_hash)
-    place = ring.index(me)
+    ring = sorted(names | {own_name}, key=_hash)
+    position = ring.index(own_name)
     distances = [1 << bit for bit in range((len(ring) - 1).bit_length())]
-    return {ring[(place + d) % len(ring)] for d in distances} - {me}
+    return {ring[(position + d) % len(ring)] for d in distances} - {own_name}
 
 
 def _hash(name: str) -> tuple[int, str]:
     return xxhash.xxh3_64_intdigest(name.encode()), name
 
 
-class Membership:
+class FailureDetector:
     """Signs of life of the other instances, own and told."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, float] = {}
-        self._told: dict[str, float] = {}
+        self._last_contact: dict[str, float] = {}
+        self._relayed_silence: dict[str, float] = {}
         self._neighbours: set[str] = set()
 
     def set_neighbours(self, names: set[str], now: float) -> None:
         """Note from whom signs of life are expected."""
         for name in names - self._neighbours:
-            self._heard[name] = now
+            self._last_contact[name] = now
         for name in self._neighbours - names:
-            self._heard.pop(name, None)
+            self._last_contact.pop(name, None)
         self._neighbours = set(names)
 
-    def note_heard(self, name: str, now: float) -> None:
+    def record_contact(self, name: str, now: float) -> None:
         """Note a sign of life at first hand.
 
         One that is no neighbour owes none: it is not waited for.
         """
         if name in self._neighbours:
-            self._heard[name] = now
-        self._told.pop(name, None)
+            self._last_contact[name] = now
+        self._relayed_silence.pop(name, None)
 
-    def note_told(self, silent: dict[str, float], now: float) -> None:
+    def record_relayed_silence(
+        self, silent: dict[str, float], now: float
+    ) -> None:
         """Note whom another instance finds silent.
 
         Args:
@@ -66,11 +68,13 @@
         """
         for name, age in silent.items():
             if name not in self._neighbours:
-                known = self._told.get(name, float("-inf"))
-                self._told[name] = max(known, now - age)
+                known = self._relayed_silence.get(name, float("-inf"))
+                self._relayed_silence[name] = max(known, now - age)
 
     def find_silent(
-        self, now: float, pause: float = const.REPORT_SECONDS
+        self,
+        now: float,
+        report_interval: float = const.REPORT_INTERVAL_SECONDS,
     ) -> dict[str, float]:
         """Return who is out of reach, with the age of that statement.
 
@@ -80,15 +84,18 @@
 
         Args:
             now: clock time, seconds.
-            pause: seconds between two reports; a neighbour may miss one.
+            report_interval: seconds between two reports; a neighbour may
+                miss one.
         """
-        limit = max(const.SILENT_SECONDS, 2.5 * pause)
+        limit = max(const.SILENCE_TIMEOUT_SECONDS, 2.5 * report_interval)
         found = {
-            name: 0.0 for name, at in self._heard.items() if now - at > limit
+            name: 0.0
+            for name, at in self._last_contact.items()
+            if now - at > limit
         }
-        for name, at in list(self._told.items()):
-            if now - at > const.FORGET_SECONDS:
-                del self._told[name]
+        for name, at in list(self._relayed_silence.items()):
+            if now - at > const.RELAYED_SILENCE_SECONDS:
+                del self._relayed_silence[name]
             else:
                 found.setdefault(name, now - at)
         return found
--- a/citronport/instances/peers.py
+++ b/citronport/instances/peers.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Served:
+class _RemoteRun:
     """A run for another instance, and the task that sends its answer."""
 
     run: runs.Run
@@ -38,38 +38,38 @@
     """Keeps one link to each other instance and runs exchanges on it.
 
     Args:
-        me: the greeting of this process.
+        hello: the greeting of this process.
         ticker: the clock.
         submit: takes a run that another instance sent, with its role.
-        listen: takes messages that belong to no exchange, and returns
+        handle_gossip: takes messages that belong to no exchange, and returns
             the answer, if there is one.
     """
 
     def __init__(
         self,
-        me: messages.Hello,
+        hello: messages.Hello,
         ticker: clock.Clock,
         submit: collections.abc.Callable[[runs.Work, str], runs.Run],
-        listen: collections.abc.Callable[
+        handle_gossip: collections.abc.Callable[
             [str, messages.Message], messages.Message | None
         ],
     ) -> None:
-        self.me = me
+        self.hello = hello
         self._ticker = ticker
         self._submit = submit
-        self._listen = listen
+        self._handle_gossip = handle_gossip
         self._links: dict[str, link.Link] = {}
         self._instances: dict[str, models.Instance] = {}
         # A new instance knows nobody yet: until it has a list, the links
         # that others opened to it are the only way to ask for one.
         self._accepted: dict[str, link.Link] = {}
-        self._dialling: set[str] = set()
-        self._used: dict[str, float] = {}
-        self._numbers = itertools.count(1)
+        self._connecting: set[str] = set()
+        self._last_used: dict[str, float] = {}
+        self._stream_numbers = itertools.count(1)
         self._exchanges: dict[
             tuple[link.Link, int], queue.Queue[messages.Message | link.Closed]
         ] = {}
-        self._served: dict[tuple[link.Link, int], _Served] = {}
+        self._remote_runs: dict[tuple[link.Link, int], _RemoteRun] = {}
 
     def serve(self, address: str, port: int) -> gevent_server.StreamServer:
         """Listen for other instances; return the started server."""
@@ -77,7 +77,7 @@
         server.start()
         return server
 
-    def connect(
+    def update_links(
         self, instances: dict[str, models.Instance], neighbours: set[str]
     ) -> None:
         """Open links that are missing; close those that nobody needs.
@@ -88,20 +88,23 @@
         """
         self._instances = instances
         for name in neighbours - set(self._links):
-            if name not in self._dialling:
-                gevent.spawn(self._dial, instances[name])
+            if name not in self._connecting:
+                gevent.spawn(self._connect, instances[name])
         now = self._ticker.now()
         for name, known in list(self._links.items()):
-            idle = now - self._used.get(name, now) > const.IDLE_LINK_SECONDS
+            idle = (
+                now - self._last_used.get(name, now)
+                > const.MAX_LINK_IDLE_SECONDS
+            )
             if name not in instances or (name not in neighbours and idle):
                 del self._links[name]
                 known.close()
 
-    def reach(self, instance: str) -> link.Link | None:
+    def get_link(self, instance: str) -> link.Link | None:
         """Return a link to an instance, opened if need be."""
-        self._used[instance] = self._ticker.now()
+        self._last_used[instance] = self._ticker.now()
         if instance not in self._links and instance in self._instances:
-            self._dial(self._instances[instance])
+            self._connect(self._instances[instance])
         return self._links.get(instance)
 
     def broadcast(self, message: messages.Message, names: set[str]) -> None:
@@ -117,15 +120,15 @@
 
     def is_idle(self) -> bool:
         """Return whether no answer to another instance is on its way."""
-        return not self._served
+        return not self._remote_runs
 
-    def flush(self, seconds: float) -> None:
+    def close_links(self, timeout: float) -> None:
         """Close all links after what is queued on them has been written."""
         links = [*self._links.values(), *self._accepted.values()]
         for each in links:
             each.close()
         for each in links:
-            each.wait(seconds)
+            each.wait(timeout)
 
     def get_incarnation(self, instance: str) -> str | None:
         """Return the incarnation of an instance that can be reached."""
@@ -146,22 +149,22 @@
             None once the answer is whole, else the refusal that has not
             been given to the run yet.
         """
-        chosen = self.reach(instance)
+        chosen = self.get_link(instance)
         if chosen is None:
-            return _make_unreachable(role)
-        key = (chosen, next(self._numbers))
+            return _make_unreachable_refusal(role)
+        key = (chosen, next(self._stream_numbers))
         inbox: queue.Queue[messages.Message | link.Closed] = queue.Queue()
         self._exchanges[key] = inbox
         chosen.send(self._make_submit(key[1], role, run.work))
         ended = False
         try:
-            refusal = _relay(inbox, run)
+            refusal = _deliver_answer(inbox, run)
             ended = True
             if role == const.ROLE_HOME and chosen.peer is None:
                 # The kernel of a dying process still accepts links. One
                 # that closes before the greeting never reached the home;
                 # what an earlier copy did there is not known, as ever.
-                return _make_unreachable(role)
+                return _make_unreachable_refusal(role)
             return refusal
         finally:
             del self._exchanges[key]
@@ -189,40 +192,40 @@
             ),
         )
 
-    def _dial(self, instance: models.Instance) -> None:
-        self._dialling.add(instance.name)
+    def _connect(self, instance: models.Instance) -> None:
+        self._connecting.add(instance.name)
         try:
             sock = socket.create_connection(
                 (instance.address, instance.peer_port),
-                timeout=const.CONNECT_SECONDS,
+                timeout=const.CONNECT_TIMEOUT_SECONDS,
             )
         except OSError:
             return
         finally:
-            self._dialling.discard(instance.name)
+            self._connecting.discard(instance.name)
         sock.settimeout(None)
         if instance.name in self._links:
             sock.close()
             return
-        opened = link.Link(sock, self._take)
-        opened.send(self.me)
+        opened = link.Link(sock, self._handle_message)
+        opened.send(self.hello)
         self._links[instance.name] = opened
 
     def _accept(self, sock: socket.socket, _address: Any) -> None:
-        opened = link.Link(sock, self._take)
-        opened.send(self.me)
+        opened = link.Link(sock, self._handle_message)
+        opened.send(self.hello)
         opened.wait()
 
-    def _take(
+    def _handle_message(
         self, source: link.Link, message: messages.Message | link.Closed
     ) -> None:
         match message:
             case link.Closed():
-                self._close(source)
+                self._handle_closed(source)
             case messages.Submit():
-                self._serve_submit(source, message)
+                self._handle_submit(source, message)
             case messages.Leave():
-                self._give_up((source, message.stream))
+                self._abandon_run((source, message.stream))
             case (
                 messages.Begin()
                 | messages.Piece()
@@ -237,16 +240,18 @@
                     self._accepted[message.instance] = source
                 logging.info("%s %s is here.", LOG, message.instance)
             case _:
-                self._listen_to(source, message)
+                self._pass_to_gossip(source, message)
 
-    def _listen_to(self, source: link.Link, message: messages.Message) -> None:
+    def _pass_to_gossip(
+        self, source: link.Link, message: messages.Message
+    ) -> None:
         if source.peer is None:
             return
-        answer = self._listen(source.peer.instance, message)
+        answer = self._handle_gossip(source.peer.instance, message)
         if answer is not None:
             source.send(answer)
 
-    def _close(self, source: link.Link) -> None:
+    def _handle_closed(self, source: link.Link) -> None:
         for links in (self._links, self._accepted):
             for name, known in list(links.items()):
                 if known is source:
@@ -254,11 +259,11 @@
         for (owner, _), inbox in list(self._exchanges.items()):
             if owner is source:
                 inbox.put(link.Closed())
-        for key in list(self._served):
+        for key in list(self._remote_runs):
             if key[0] is source:
-                self._give_up(key)
+                self._abandon_run(key)
 
-    def _serve_submit(
+    def _handle_submit(
         self, source: link.Link, message: messages.Submit
     ) -> None:
         request = dict(message.request)
@@ -268,13 +273,13 @@
         work = runs.Work(
             request=models.Request(**request),
             call=endpoint_client.Call(**message.call),
-            identity=_make_identity(message.identity),
+            identity=_decode_identity(message.identity),
         )
         run = self._submit(work, message.role)
         key = (source, message.stream)
         inbox = run.attach()
         task = gevent.spawn(self._send_answer, key, inbox)
-        self._served[key] = _Served(run=run, inbox=inbox, task=task)
+        self._remote_runs[key] = _RemoteRun(run=run, inbox=inbox, task=task)
 
     def _send_answer(
         self,
@@ -285,21 +290,21 @@
         ended = False
         while not ended:
             message = inbox.get()
-            source.send(_convert(stream, message))
+            source.send(_make_message(stream, message))
             ended = isinstance(message, answers.Finished | answers.Refused)
-        self._served.pop(key, None)
+        self._remote_runs.pop(key, None)
 
-    def _give_up(self, key: tuple[link.Link, int]) -> None:
+    def _abandon_run(self, key: tuple[link.Link, int]) -> None:
         # The reader is taken off here and not by its task: one that was
         # killed before its first turn would leave the request waiting,
         # to be run for nobody.
-        served = self._served.pop(key, None)
-        if served is not None:
-            served.task.kill(block=False)
-            served.run.detach(served.inbox)
+        remote_run = self._remote_runs.pop(key, None)
+        if remote_run is not None:
+            remote_run.task.kill(block=False)
+            remote_run.run.detach(remote_run.inbox)
 
 
-def _make_unreachable(role: str) -> errors.Refusal:
+def _make_unreachable_refusal(role: str) -> errors.Refusal:
     # Nothing was sent. Still, an earlier copy of a request that belongs to
     # its home may have run there.
     if role == const.ROLE_HOME:
@@ -307,15 +312,15 @@
     return errors.Refusal(code=errors.Code.NO_ENDPOINT, retry_after=0.5)
 
 
-def _make_identity(fields: dict[str, Any] | None) -> tickets.Identity | None:
+def _decode_identity(fields: dict[str, Any] | None) -> tickets.Identity | None:
     if fields is None:
         return None
     ticket = fields["ticket"]
-    named = tickets.Ticket(**ticket) if ticket else None
-    return tickets.Identity(**{**fields, "ticket": named})
+    decoded = tickets.Ticket(**ticket) if ticket else None
+    return tickets.Identity(**{**fields, "ticket": decoded})
 
 
-def _relay(
+def _deliver_answer(
     inbox: queue.Queue[messages.Message | link.Closed], run: runs.Run
 ) -> errors.Refusal | None:
     while True:
@@ -346,7 +351,7 @@
                 return errors.Refusal(code=errors.Code.INSTANCE_LOST)
 
 
-def _convert(stream: int, message: answers.Message) -> messages.Message:
+def _make_message(stream: int, message: answers.Message) -> messages.Message:
     match message:
         case answers.Started():
             return messages.Begin(
--- a/measures/capacity/aims.py
+++ b/measures/capacity/aims.py
@@ -15,7 +15,7 @@
 ) -> dict[str, float]:
     """Return the figures of one instance, and of the platform, at size."""
     at = {one.series.name: one.at_aim for one in fits}
-    pace = 1 / instance_const.LARGE_REPORT_SECONDS
+    pace = 1 / instance_const.RING_REPORT_INTERVAL_SECONDS
     links = at["links of an instance"]
     reports = links * pace * at["report, bytes"]
     change = at["one change to a peer, bytes"]
--- a/measures/capacity/messages.py
+++ b/measures/capacity/messages.py
@@ -109,5 +109,5 @@
         hops += 1
     return {
         "hops to reach 510 instances": hops,
-        "report pause in a large fleet, s": const.LARGE_REPORT_SECONDS,
+        "report pause in a large fleet, s": const.RING_REPORT_INTERVAL_SECONDS,
     }
--- a/tests/instances/test_membership.py
+++ b/tests/instances/test_membership.py
@@ -55,17 +55,17 @@
     def setUp(self):
         """Expect signs of life of one neighbour."""
         super().setUp()
-        self.members = membership.Membership()
-        self.members.set_neighbours({"near"}, 0.0)
+        self.detector = membership.FailureDetector()
+        self.detector.set_neighbours({"near"}, 0.0)
 
     def test_silent_neighbour_is_out_of_reach_until_heard(self):
         """First-hand silence counts from the last sign of life."""
-        self.members.note_heard("near", 1.0)
-        late = 1.1 + const.SILENT_SECONDS
-        self.assertEqual({}, self.members.find_silent(late - 0.2))
-        self.assertEqual({"near": 0.0}, self.members.find_silent(late))
-        self.members.note_heard("near", late)
-        self.assertEqual({}, self.members.find_silent(late))
+        self.detector.record_contact("near", 1.0)
+        late = 1.1 + const.SILENCE_TIMEOUT_SECONDS
+        self.assertEqual({}, self.detector.find_silent(late - 0.2))
+        self.assertEqual({"near": 0.0}, self.detector.find_silent(late))
+        self.detector.record_contact("near", late)
+        self.assertEqual({}, self.detector.find_silent(late))
 
     def test_told_silence_ages_and_is_forgotten(self):
         """Those who are not its neighbours notice a return.
@@ -73,12 +73,12 @@
         A far instance dies and is replaced. Nobody says so any more; what
         was told, and is told on from one to the next, must run out.
         """
-        self.members.note_told({"far": 1.0}, 10.0)
-        self.assertAlmostEqual(3.0, self.members.find_silent(12.0)["far"])
-        other = membership.Membership()
-        other.note_told(self.members.find_silent(12.0), 12.0)
-        gone = 9.1 + const.FORGET_SECONDS
-        self.assertNotIn("far", self.members.find_silent(gone))
+        self.detector.record_relayed_silence({"far": 1.0}, 10.0)
+        self.assertAlmostEqual(3.0, self.detector.find_silent(12.0)["far"])
+        other = membership.FailureDetector()
+        other.record_relayed_silence(self.detector.find_silent(12.0), 12.0)
+        gone = 9.1 + const.RELAYED_SILENCE_SECONDS
+        self.assertNotIn("far", self.detector.find_silent(gone))
         self.assertNotIn("far", other.find_silent(gone))
 
     def test_pace_of_a_large_fleet_is_no_silence(self):
@@ -87,18 +87,18 @@
         Seen as neighbours that are out of reach before each report, and
         are told to be so to all others.
         """
-        pause = const.LARGE_REPORT_SECONDS
-        self.members.note_heard("near", 0.0)
-        self.assertEqual({}, self.members.find_silent(2.2, pause))
+        pause = const.RING_REPORT_INTERVAL_SECONDS
+        self.detector.record_contact("near", 0.0)
+        self.assertEqual({}, self.detector.find_silent(2.2, pause))
         late = 2.6 * pause
-        self.assertEqual({"near": 0.0}, self.members.find_silent(late, pause))
+        self.assertEqual({"near": 0.0}, self.detector.find_silent(late, pause))
 
     def test_stranger_that_spoke_once_is_not_waited_for(self):
         """Only a neighbour owes signs of life."""
-        self.members.note_heard("stranger", 0.0)
-        self.assertNotIn("stranger", self.members.find_silent(60.0))
+        self.detector.record_contact("stranger", 0.0)
+        self.assertNotIn("stranger", self.detector.find_silent(60.0))
 
     def test_own_ears_go_before_what_is_told(self):
         """A neighbour that answers is not out of reach, whoever says so."""
-        self.members.note_told({"near": 0.0}, 1.0)
-        self.assertEqual({}, self.members.find_silent(1.0))
+        self.detector.record_relayed_silence({"near": 0.0}, 1.0)
+        self.assertEqual({}, self.detector.find_silent(1.0))
--- a/tests/instances/test_peers.py
+++ b/tests/instances/test_peers.py
@@ -42,7 +42,7 @@
             address="127.0.0.1",
             peer_port=self.listener.getsockname()[1],
         )
-        self.peers.connect({"home": home}, set())
+        self.peers.update_links({"home": home}, set())
 
     def forward(self, role):
         """Forward a request while the process dies; return the refusal."""
