--- a/citronport/callers/answers.py
+++ b/citronport/callers/answers.py
@@ -18,7 +18,9 @@
     start_response: replies.StartResponse,
     run: runs.Run,
     answer: collections.abc.Iterable[messages.Message],
-    complete: collections.abc.Callable[[errors.Refusal], errors.Refusal],
+    complete_refusal: collections.abc.Callable[
+        [errors.Refusal], errors.Refusal
+    ],
 ) -> collections.abc.Iterator[bytes]:
     """Write out the answer of a run as it comes.
 
@@ -26,7 +28,7 @@
         start_response: of WSGI.
         run: the run.
         answer: its messages, from the first.
-        complete: adds what a refusal lacks, such as where to go.
+        complete_refusal: adds what a refusal lacks, such as where to go.
 
     Raises:
         replies.StreamCutError: the answer broke after its first byte.
@@ -52,7 +54,7 @@
             case messages.Refused() if begun:
                 yield from _cut_stream(run, message.refusal)
             case messages.Refused():
-                refusal = complete(message.refusal)
+                refusal = complete_refusal(message.refusal)
                 yield from replies.answer_refusal(start_response, refusal)
                 return
         if not begun and head is not None:
--- a/citronport/callers/application.py
+++ b/citronport/callers/application.py
@@ -12,10 +12,10 @@
 from citronport import runs
 from citronport.callers import answers
 from citronport.callers import const
-from citronport.callers import home
+from citronport.callers import idempotency
 from citronport.callers import lookup
-from citronport.callers import marks
 from citronport.callers import replies
+from citronport.callers import request_headers
 from citronport.callers import submissions
 from citronport.catalogue import models as catalogue_models
 from citronport.catalogue import store
@@ -29,31 +29,32 @@
         published: catalogue and instance list.
         records: issues the tickets.
         ticker: the clock.
-        take: returns the run of a submission; see ``keeper.Keeper.take``.
+        submit: returns the run of a submission; see
+            ``deduplication.Deduplicator.submit``.
         directory: knows which entries to use.
     """
 
     def __init__(
         self,
         published: store.Store,
-        records: home.Home,
+        records: idempotency.RequestRecords,
         ticker: clock.Clock,
-        take: collections.abc.Callable[[runs.Work], runs.Run],
+        submit: collections.abc.Callable[[runs.Work], runs.Run],
         directory: lookup.Directory,
     ) -> None:
         self._published = published
         self._records = records
         self._ticker = ticker
-        self._take = take
+        self._submit = submit
         self._directory = directory
 
     def __call__(
         self,
-        environ: marks.Environ,
+        environ: request_headers.Environ,
         start_response: replies.StartResponse,
     ) -> collections.abc.Iterable[bytes]:
         """Answer one HTTP request."""
-        target = marks.read_target(environ)
+        target = request_headers.read_target(environ)
         match self._find_entry(environ):
             case result.Err(refusal):
                 return self._refuse(environ, start_response, refusal)
@@ -72,7 +73,7 @@
         return self._refuse(environ, start_response, refusal)
 
     def _find_entry(
-        self, environ: marks.Environ
+        self, environ: request_headers.Environ
     ) -> result.Result[decisions.Entry, errors.Refusal]:
         fleet = self._published.fleet
         if fleet is None:
@@ -89,7 +90,7 @@
 
     def _answer_lookup(
         self,
-        environ: marks.Environ,
+        environ: request_headers.Environ,
         start_response: replies.StartResponse,
         entry: decisions.Entry,
     ) -> list[bytes]:
@@ -103,10 +104,10 @@
             model=query.get("model", [""])[0],
             caller=query.get("caller", [""])[0],
         )
-        ticket = self._records.issue(self._ticker.now())
+        ticket = self._records.issue_ticket(self._ticker.now())
         body = {
             "entries": list(entries),
-            "keep_seconds": const.LOOKUP_KEEP_SECONDS,
+            "keep_seconds": const.LOOKUP_LIFETIME_SECONDS,
             "ticket": str(ticket),
             "ticket_seconds": const.TICKET_LIFETIME_SECONDS,
         }
@@ -133,46 +134,48 @@
 
     def _answer_work(
         self,
-        environ: marks.Environ,
+        environ: request_headers.Environ,
         start_response: replies.StartResponse,
         entry: decisions.Entry,
     ) -> collections.abc.Iterable[bytes]:
-        keyed = marks.get_header(environ, common.HEADER_IDEMPOTENCY_KEY)
+        keyed = request_headers.get_header(
+            environ, common.HEADER_IDEMPOTENCY_KEY
+        )
         if self._directory.is_leaving() and not keyed:
             # Before the body is read; a repeat may still join its run.
             refusal = errors.Refusal(code=errors.Code.LEAVING)
             return self._refuse(environ, start_response, refusal)
         now = self._ticker.now()
-        target = marks.read_target(environ)
+        target = request_headers.read_target(environ)
         match submissions.parse(environ, target, entry, now):
             case result.Err(refusal):
                 return self._refuse(environ, start_response, refusal)
             case result.Ok(work):
                 pass
-        run = self._take(work)
+        run = self._submit(work)
         return answers.answer_run(
-            start_response, run, run.read(), self._complete
+            start_response, run, run.read(), self._complete_refusal
         )
 
     def _refuse(
         self,
-        environ: marks.Environ,
+        environ: request_headers.Environ,
         start_response: replies.StartResponse,
         refusal: errors.Refusal,
     ) -> list[bytes]:
         return replies.answer_refusal(
             start_response,
-            self._complete(refusal),
-            close=not environ["wsgi.input"].whole,
+            self._complete_refusal(refusal),
+            close=not environ["wsgi.input"].complete,
         )
 
-    def _complete(self, refusal: errors.Refusal) -> errors.Refusal:
+    def _complete_refusal(self, refusal: errors.Refusal) -> errors.Refusal:
         if refusal.code != errors.Code.LEAVING or refusal.go_to:
             return refusal
         others = self._directory.list_others()
         # There is somewhere else to go at once; if not, this instance or
         # another one may be back soon.
-        retry_after = 0.0 if others else const.ALONE_RETRY_SECONDS
+        retry_after = 0.0 if others else const.ALL_LEAVING_RETRY_SECONDS
         return dataclasses.replace(
             refusal, go_to=others, retry_after=retry_after
         )
--- a/citronport/callers/bodies.py
+++ b/citronport/callers/bodies.py
@@ -13,14 +13,14 @@
 from citronport.callers import const
 
 _READ_BYTES = 65536
-_YIELD_READS = 4096
+_READS_PER_YIELD = 4096
 
 
 class FramingError(OSError):
     """A chunked body spends too much on its framing."""
 
 
-class _MeteredFile:
+class _CountingReader:
     """Counts the single bytes that the reader of chunks asks for."""
 
     def __init__(self, file: io.BufferedReader) -> None:
@@ -38,7 +38,7 @@
         if self._reads > const.MAX_FRAMING_READS:
             raise FramingError("too many small chunks")
         # Bytes that are here already are read without a turn of the loop.
-        if self._reads % _YIELD_READS == 0:
+        if self._reads % _READS_PER_YIELD == 0:
             gevent.sleep(0)
 
 
@@ -49,9 +49,9 @@
         file: where it comes from.
         length: announced bytes, None without an announcement.
         chunked: whether it comes in chunks.
-        continue_to: where "100 Continue" is to be sent first, if at all.
-        held: the bounds over all callers.
-        on_whole: called once the body has been read.
+        continue_socket: where "100 Continue" is to be sent first, if at all.
+        tracker: the bounds over all callers.
+        on_complete: called once the body has been read.
     """
 
     def __init__(
@@ -60,25 +60,25 @@
         length: int | None,
         *,
         chunked: bool,
-        continue_to: socket.socket | None,
-        held: connections.Connections,
-        on_whole: collections.abc.Callable[[], None],
+        continue_socket: socket.socket | None,
+        tracker: connections.ConnectionTracker,
+        on_complete: collections.abc.Callable[[], None],
     ) -> None:
         self._length = length
         self._input = pywsgi.Input(
-            _MeteredFile(file) if chunked else file,
+            _CountingReader(file) if chunked else file,
             length,
-            socket=continue_to,
+            socket=continue_socket,
             chunked_input=chunked,
         )
-        self._held = held
-        self._on_whole = on_whole
+        self._tracker = tracker
+        self._on_complete = on_complete
         self._reserved = 0
-        self.whole = not chunked and not length
+        self.complete = not chunked and not length
 
-    def read_whole(self) -> result.Result[bytes, errors.Refusal]:
+    def read_all(self) -> result.Result[bytes, errors.Refusal]:
         """Return the body, or why it can't be taken."""
-        limits = self._held.limits
+        limits = self._tracker.limits
         if (self._length or 0) > limits.body_bytes:
             return _refuse(errors.Code.BODY_TOO_LARGE)
         timeout = gevent.Timeout(limits.body_seconds)
@@ -97,7 +97,7 @@
 
     def release(self) -> None:
         """Give back what the body took of the budget."""
-        self._held.release(self._reserved)
+        self._tracker.release_body_bytes(self._reserved)
         self._reserved = 0
 
     def _read(self) -> result.Result[bytes, errors.Refusal]:
@@ -105,9 +105,9 @@
         size = 0
         while data := self._input.read(_READ_BYTES):
             size += len(data)
-            if size > self._held.limits.body_bytes:
+            if size > self._tracker.limits.body_bytes:
                 return _refuse(errors.Code.BODY_TOO_LARGE)
-            if not self._held.reserve(len(data)):
+            if not self._tracker.reserve_body_bytes(len(data)):
                 return result.Err(
                     errors.Refusal(
                         code=errors.Code.TOO_MANY_CALLERS,
@@ -116,8 +116,8 @@
                 )
             self._reserved += len(data)
             parts.append(data)
-        self.whole = True
-        self._on_whole()
+        self.complete = True
+        self._on_complete()
         return result.Ok(b"".join(parts))
 
     def _discard(self) -> None:
--- a/citronport/callers/connections.py
+++ b/citronport/callers/connections.py
@@ -17,12 +17,12 @@
     """
 
     connections: int = const.MAX_CONNECTIONS
-    idle_seconds: float = const.IDLE_SECONDS
-    head_seconds: float = const.HEAD_SECONDS
+    idle_seconds: float = const.IDLE_TIMEOUT_SECONDS
+    head_seconds: float = const.HEAD_TIMEOUT_SECONDS
     body_bytes: int = const.MAX_BODY_BYTES
-    body_seconds: float = const.BODY_SECONDS
-    bodies_bytes: int = const.BODY_BUDGET_BYTES
-    send_seconds: float = const.SEND_SECONDS
+    body_seconds: float = const.BODY_TIMEOUT_SECONDS
+    total_body_bytes: int = const.BODY_BUDGET_BYTES
+    send_seconds: float = const.SEND_TIMEOUT_SECONDS
 
 
 def make_limits() -> Limits:
@@ -34,7 +34,7 @@
     return Limits(connections=min(const.MAX_CONNECTIONS, files // 2))
 
 
-class Connections:
+class ConnectionTracker:
     """Counts connections and makes room by closing idle ones.
 
     Args:
@@ -44,7 +44,9 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self._open: dict[socket.socket, str] = {}
-        self._held: collections.Counter[str] = collections.Counter()
+        self._count_by_address: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._idle: dict[
             str, collections.OrderedDict[socket.socket, None]
         ] = {}
@@ -58,67 +60,67 @@
         """Return whether no open connection carries a request."""
         return len(self._open) == sum(map(len, self._idle.values()))
 
-    def enter(self, sock: socket.socket, address: str) -> bool:
+    def add(self, sock: socket.socket, address: str) -> bool:
         """Take a new connection on; return False if there is no room."""
         # Load: one address that holds connections busy, by heads that it
         # sends byte by byte. Harm: nothing is idle, so that no room can
         # be made for others. Half of all is far more than the callers
         # behind one address translation need.
-        if self._held[address] >= self._get_share():
+        if self._count_by_address[address] >= self._get_address_limit():
             self._close_idle(address)
         if len(self._open) >= self.limits.connections:
-            self._close_idle(self._find_idlest())
+            self._close_idle(self._find_address_to_close())
         if (
-            self._held[address] >= self._get_share()
+            self._count_by_address[address] >= self._get_address_limit()
             or len(self._open) >= self.limits.connections
         ):
             return False
         self._open[sock] = address
-        self._held[address] += 1
+        self._count_by_address[address] += 1
         return True
 
-    def exit(self, sock: socket.socket) -> None:
+    def remove(self, sock: socket.socket) -> None:
         """Note that a connection is closed."""
         address = self._open.pop(sock, None)
         if address is None:
             return
         self.set_busy(sock, address)
-        self._held[address] -= 1
-        if not self._held[address]:
-            del self._held[address]
+        self._count_by_address[address] -= 1
+        if not self._count_by_address[address]:
+            del self._count_by_address[address]
 
     def set_idle(self, sock: socket.socket, address: str) -> None:
         """Note that a connection waits for the head of a request."""
         if sock not in self._open:
             # Closed to make room, and not yet ended by its task.
             return
-        waiting = self._idle.setdefault(address, collections.OrderedDict())
-        waiting[sock] = None
+        idle = self._idle.setdefault(address, collections.OrderedDict())
+        idle[sock] = None
 
     def set_busy(self, sock: socket.socket, address: str) -> None:
         """Note that a connection carries a request."""
-        waiting = self._idle.get(address)
-        if waiting is None:
+        idle = self._idle.get(address)
+        if idle is None:
             return
-        waiting.pop(sock, None)
-        if not waiting:
+        idle.pop(sock, None)
+        if not idle:
             del self._idle[address]
 
-    def reserve(self, size: int) -> bool:
+    def reserve_body_bytes(self, size: int) -> bool:
         """Take bytes from the budget of all bodies, if there are so many."""
-        if self._body_bytes + size > self.limits.bodies_bytes:
+        if self._body_bytes + size > self.limits.total_body_bytes:
             return False
         self._body_bytes += size
         return True
 
-    def release(self, size: int) -> None:
+    def release_body_bytes(self, size: int) -> None:
         """Give bytes back to the budget."""
         self._body_bytes -= size
 
-    def _get_share(self) -> int:
+    def _get_address_limit(self) -> int:
         return max(1, self.limits.connections // 2)
 
-    def _find_idlest(self) -> str:
+    def _find_address_to_close(self) -> str:
         # Load: a caller that opens connections and sends nothing. Harm:
         # nobody else could connect. Closing the oldest idle connection of
         # the address that has most of them meets that caller first; an
@@ -126,11 +128,11 @@
         return max(self._idle, key=lambda a: len(self._idle[a]), default="")
 
     def _close_idle(self, address: str) -> None:
-        waiting = self._idle.get(address)
-        if not waiting:
+        idle = self._idle.get(address)
+        if not idle:
             return
-        sock = next(iter(waiting))
-        self.exit(sock)
+        sock = next(iter(idle))
+        self.remove(sock)
         with contextlib.suppress(OSError):
             # Wakes the task that reads from it, which then closes it.
             sock.shutdown(socket.SHUT_RDWR)
--- a/citronport/callers/const.py
+++ b/citronport/callers/const.py
@@ -9,7 +9,7 @@
 PREFIX_TICKET: Final = "/t/"
 """A ticket may stand before any path, for clients that set no headers."""
 
-LOOKUP_KEEP_SECONDS: Final = 15.0
+LOOKUP_LIFETIME_SECONDS: Final = 15.0
 """How long a caller may keep the answer of a lookup."""
 
 BLOCK_CHARS: Final = 512
@@ -27,7 +27,7 @@
 told never meets an expired ticket, and short enough to bound the records.
 """
 
-RECORD_KEEP_SECONDS: Final = 300.0
+RECORD_RETENTION_SECONDS: Final = 300.0
 """How long a record is kept after its run's end, at least.
 
 Also the whole life of a record whose key came without a ticket.
@@ -39,22 +39,22 @@
 94 requests a second and daemon for 300 s are 28,200, if all are keyed.
 """
 
-FULL_RETRY_SECONDS: Final = 5.0
+RECORDS_FULL_RETRY_SECONDS: Final = 5.0
 """When to come back if all records are taken; they go 94 a second."""
 
 ANSWER_BUDGET_BYTES: Final = 8_000_000
 """Bytes of answers kept for repeats: a quarter of a daemon's 32 MB."""
 
-RUN_BYTES: Final = 2_000
+RUN_OVERHEAD_BYTES: Final = 2_000
 """What a finished run takes besides its answer, about."""
 
-LINGER_SECONDS: Final = 20.0
+ABANDONED_RUN_GRACE_SECONDS: Final = 20.0
 """How long an idempotent keyed run goes on with no caller left.
 
 The waits of the openai client's two repeats add up to at most 16 s.
 """
 
-SWEEP_SECONDS: Final = 1.0
+SWEEP_INTERVAL_SECONDS: Final = 1.0
 """Pause between two looks at the records."""
 
 MAX_TICKET_CHARS: Final = 160
@@ -64,7 +64,7 @@
 ENVIRON_TARGET: Final = "citronport.target"
 """Key of the raw request target in the WSGI environment."""
 
-MARK_VALUES: Final = {
+FLAG_VALUES: Final = {
     "": False,
     "0": False,
     "false": False,
@@ -92,10 +92,10 @@
 MAX_HEADERS: Final = 100
 """Most header lines; the openai client sends about 20."""
 
-HEAD_SECONDS: Final = 10.0
+HEAD_TIMEOUT_SECONDS: Final = 10.0
 """Time from the first byte of a head to its end; one packet holds most."""
 
-IDLE_SECONDS: Final = 60.0
+IDLE_TIMEOUT_SECONDS: Final = 60.0
 """How long a connection may stay open between two requests."""
 
 MAX_BODY_BYTES: Final = 4_000_000
@@ -105,7 +105,7 @@
 """Messages of one chat. The longest body could hold 140,000 short ones,
 whose check stops the event loop for 0.6 s; these take under 0.1 s."""
 
-BODY_SECONDS: Final = 60.0
+BODY_TIMEOUT_SECONDS: Final = 60.0
 """Time for a whole body: 400 KB from a phone at 10 KB/s take 40 s."""
 
 MAX_FRAMING_READS: Final = 65_536
@@ -119,7 +119,7 @@
 """Bodies held for all callers at once: sixteen of the longest, or two
 thousand of 32 KB."""
 
-SEND_SECONDS: Final = 30.0
+SEND_TIMEOUT_SECONDS: Final = 30.0
 """How long a caller may take no byte of its answer before it is cut."""
 
 MAX_CONNECTIONS: Final = 4096
@@ -130,39 +130,39 @@
 
 FULL_CONNECTIONS_RETRY_SECONDS: Final = 1.0
 
-DISCARD_SECONDS: Final = 1.0
+DISCARD_TIMEOUT_SECONDS: Final = 1.0
 """How long the rest of a refused body is read and dropped.
 
 Closing with bytes unread makes the kernel reset the connection, and the
 caller would lose the refusal on its way.
 """
 
-DISCARD_BYTES: Final = 8_000_000
+MAX_DISCARD_BYTES: Final = 8_000_000
 
-HANG_UP_CHECK_SECONDS: Final = 1.0
+DISCONNECT_POLL_SECONDS: Final = 1.0
 """How often a connection with bytes unread is checked for its end."""
 
 # Lookup
 
-WINDOW_SPARE: Final = 2.0
+WINDOW_HEADROOM: Final = 2.0
 """Entries for a workspace, as a multiple of its share of the fleet."""
 
-MIN_WINDOW: Final = 2
+MIN_WINDOW_SIZE: Final = 2
 
-OWNERS_KEEP_SECONDS: Final = 1.0
+OWNERS_CACHE_SECONDS: Final = 1.0
 """How long the owners of a model's endpoints are kept; a look at 5,100
 endpoints takes about a millisecond."""
 
-LOOKUP_ADDRESSES: Final = 16
+MAX_LOOKUP_ADDRESSES: Final = 16
 """Addresses in the answer of a lookup; a caller that finds all of these
 dead asks another entry. All of 510 would be 11 KB."""
 
-GO_TO_ADDRESSES: Final = 8
+MAX_GO_TO_ADDRESSES: Final = 8
 """Addresses in a refusal; a header of all 510 would be 11 KB."""
 
-ALONE_RETRY_SECONDS: Final = 2.0
+ALL_LEAVING_RETRY_SECONDS: Final = 2.0
 """When to come back to a fleet of which every entry is leaving."""
 
-MAX_REFUSING: Final = 256
+MAX_CONCURRENT_REFUSALS: Final = 256
 """Connections that are being told that there is no room, at once; more
 are closed without a word, since these hold file descriptors too."""
--- a/citronport/callers/deduplication.py
+++ b/citronport/callers/deduplication.py
@@ -9,20 +9,20 @@
 from citronport import errors
 from citronport import runs
 from citronport.callers import const
-from citronport.callers import home
+from citronport.callers import idempotency
 from citronport.endpoints import messages
 
 Forward = collections.abc.Callable[[runs.Run, str], errors.Refusal | None]
 
 
-class Keeper:
-    """Carries out what ``home.Home`` decides.
+class Deduplicator:
+    """Carries out what ``idempotency.Home`` decides.
 
     Args:
         records: the requests this incarnation has taken.
         ticker: the clock.
-        submit: starts a run here.
-        leave: told of a run that nobody waits for any more.
+        start_run: starts a run here.
+        abandon: told of a run that nobody waits for any more.
         forward: hands a run to the home of its ticket; returns None once
             the answer is whole, else the refusal.
         is_leaving: whether this instance takes no new work.
@@ -30,21 +30,21 @@
 
     def __init__(
         self,
-        records: home.Home,
+        records: idempotency.RequestRecords,
         ticker: clock.Clock,
-        submit: collections.abc.Callable[[runs.Run], None],
-        leave: collections.abc.Callable[[runs.Run], None],
+        start_run: collections.abc.Callable[[runs.Run], None],
+        abandon: collections.abc.Callable[[runs.Run], None],
         forward: Forward,
         is_leaving: collections.abc.Callable[[], bool],
     ) -> None:
         self._records = records
         self._ticker = ticker
-        self._submit = submit
-        self._leave = leave
+        self._start_run = start_run
+        self._abandon = abandon
         self._forward = forward
         self._is_leaving = is_leaving
 
-    def take(self, work: runs.Work, *, forwarded: bool = False) -> runs.Run:
+    def submit(self, work: runs.Work, *, forwarded: bool = False) -> runs.Run:
         """Return the run of a submission, old or new.
 
         Args:
@@ -52,51 +52,55 @@
             forwarded: whether another instance sent it here as its home.
         """
         if work.identity is None:
-            return self._start(work)
+            return self._submit_new(work)
         match self._records.decide(work.identity, self._ticker.now()):
             case result.Err(refusal):
-                return make_refused(work, refusal)
-            case result.Ok(home.Join(run=run)):
+                return make_refused_run(work, refusal)
+            case result.Ok(idempotency.JoinRun(run=run)):
                 return run
-            case result.Ok(home.GoHome(instance=instance)):
-                return self._send_home(work, instance, forwarded=forwarded)
+            case result.Ok(idempotency.ForwardToHome(instance=instance)):
+                return self._forward_to_home(
+                    work, instance, forwarded=forwarded
+                )
             case _:
-                return self._start(work)
+                return self._submit_new(work)
 
     def sweep_forever(self) -> None:
         """Drop old records and give up runs that nobody reads."""
         while True:
-            self._ticker.sleep(const.SWEEP_SECONDS)
-            for run in self._records.sweep(self._ticker.now()):
-                self._leave(run)
+            self._ticker.sleep(const.SWEEP_INTERVAL_SECONDS)
+            for run in self._records.remove_expired(self._ticker.now()):
+                self._abandon(run)
 
-    def _start(self, work: runs.Work) -> runs.Run:
+    def _submit_new(self, work: runs.Work) -> runs.Run:
         # Only a new run is refused here: a repeat of one that started
         # before the order to leave still joins it.
         if self._is_leaving():
             refusal = errors.Refusal(code=errors.Code.LEAVING)
-            return make_refused(work, refusal)
+            return make_refused_run(work, refusal)
         if work.identity is None:
-            run = runs.Run(work, self._leave)
+            run = runs.Run(work, self._abandon)
         else:
-            run = runs.Run(work, self._leave, keep=True, settle=self._settle)
+            run = runs.Run(
+                work, self._abandon, keep=True, settle=self._record_end
+            )
             # The record stands before the run can be dispatched, so that
             # a repeat can not come in between.
             self._records.add(work.identity, run)
-        self._submit(run)
+        self._start_run(run)
         return run
 
-    def _settle(self, run: runs.Run) -> None:
-        self._records.settle(run, self._ticker.now())
+    def _record_end(self, run: runs.Run) -> None:
+        self._records.record_end(run, self._ticker.now())
 
-    def _send_home(
+    def _forward_to_home(
         self, work: runs.Work, instance: str, *, forwarded: bool
     ) -> runs.Run:
         if forwarded:
             # A request goes home in one step; two would mean that the
             # sender's view of the fleet is wrong.
             refusal = errors.Refusal(code=errors.Code.HOME_UNREACHABLE)
-            return make_refused(work, refusal)
+            return make_refused_run(work, refusal)
         relay: gevent.Greenlet | None = None
 
         def stop(_run: runs.Run) -> None:
@@ -104,10 +108,10 @@
                 relay.kill(block=False)
 
         run = runs.Run(work, stop)
-        relay = gevent.spawn(self._relay, run, instance)
+        relay = gevent.spawn(self._relay_answer, run, instance)
         return run
 
-    def _relay(self, run: runs.Run, instance: str) -> None:
+    def _relay_answer(self, run: runs.Run, instance: str) -> None:
         seconds = run.work.request.deadline - self._ticker.now()
         refusal: errors.Refusal | None = errors.Refusal(
             code=errors.Code.DEADLINE_PASSED_RUNNING
@@ -119,7 +123,7 @@
             run.deliver(messages.Refused(refusal=refusal))
 
 
-def make_refused(work: runs.Work, refusal: errors.Refusal) -> runs.Run:
+def make_refused_run(work: runs.Work, refusal: errors.Refusal) -> runs.Run:
     """Return a run whose whole answer is a refusal."""
     run = runs.Run(work, lambda _run: None, keep=True)
     run.deliver(messages.Refused(refusal=refusal))
--- a/citronport/callers/disconnects.py
+++ b/citronport/callers/disconnects.py
@@ -10,14 +10,14 @@
 
 from citronport.callers import const
 
-_GONE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-class CallerGone(gevent.GreenletExit):  # noqa: N818
+class CallerDisconnected(gevent.GreenletExit):  # noqa: N818
     """The caller closed its connection; ends the task that serves it."""
 
 
-class Watch:
+class DisconnectWatcher:
     """Calls back, once, when the other side of a connection has ended it.
 
     The server would see it only at its next write, which for a request
@@ -27,20 +27,20 @@
 
     Args:
         sock: the caller's connection; its body has been read.
-        on_gone: called from the event loop; must not block.
+        on_disconnect: called from the event loop; must not block.
     """
 
     def __init__(
         self,
         sock: gevent_socket.socket,
-        on_gone: collections.abc.Callable[[], None],
+        on_disconnect: collections.abc.Callable[[], None],
     ) -> None:
         self._sock = sock
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
         loop = gevent.get_hub().loop
         self._timer = None
         self._watcher = loop.io(sock.fileno(), 1)
-        self._watcher.start(self._look)
+        self._watcher.start(self._handle_readable)
 
     def stop(self) -> None:
         """Stop watching."""
@@ -51,7 +51,7 @@
         self._watcher = None
         self._timer = None
 
-    def _look(self) -> None:
+    def _handle_readable(self) -> None:
         try:
             data = self._sock._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -59,22 +59,22 @@
         except OSError:
             data = b""
         if data:
-            self._look_by_timer()
+            self._start_polling()
             return
         self.stop()
-        self._on_gone()
+        self._on_disconnect()
 
-    def _look_by_timer(self) -> None:
+    def _start_polling(self) -> None:
         # The next request is already here and stays unread until this one
         # is answered, so that the socket is readable all the time.
         self.stop()
-        pause = const.HANG_UP_CHECK_SECONDS
+        pause = const.DISCONNECT_POLL_SECONDS
         self._timer = gevent.get_hub().loop.timer(pause, repeat=pause)
-        self._timer.start(self._look_for_end)
+        self._timer.start(self._check_connection)
 
-    def _look_for_end(self) -> None:
+    def _check_connection(self) -> None:
         poll = monkey.get_original("select", "poll")()
         poll.register(self._sock.fileno(), select.POLLRDHUP)
-        if any(events & _GONE_EVENTS for _, events in poll.poll(0)):
+        if any(events & _DISCONNECT_EVENTS for _, events in poll.poll(0)):
             self.stop()
-            self._on_gone()
+            self._on_disconnect()
--- a/citronport/callers/head_validation.py
+++ b/citronport/callers/head_validation.py
@@ -14,12 +14,12 @@
 from citronport import errors
 from citronport.callers import const
 
-_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
+_HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+_HEADER_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
 _TARGET_CHARS = frozenset(string.ascii_letters + string.digits) | frozenset(
     "-._~:/?#[]@!$&'()*+,;=%"
 )
-SINGLE = frozenset(
+SINGLETON_HEADERS = frozenset(
     name.lower().encode()
     for name in (
         "Authorization",
@@ -67,13 +67,13 @@
 
 
 def check_headers(
-    lines: list[bytes], single: frozenset[bytes] = SINGLE
+    lines: list[bytes], singletons: frozenset[bytes] = SINGLETON_HEADERS
 ) -> result.Result[None, errors.Refusal]:
     """Check the header lines of a request, without the closing empty one.
 
     Args:
         lines: the header lines.
-        single: names, in lower case, that may stand once only.
+        singletons: names, in lower case, that may stand once only.
     """
     seen: dict[bytes, bytes] = {}
     for line in lines:
@@ -82,11 +82,11 @@
         if not (
             line.endswith(b"\r\n")
             and colon
-            and _NAME.fullmatch(name)
-            and _VALUE.fullmatch(value)
+            and _HEADER_NAME.fullmatch(name)
+            and _HEADER_VALUE.fullmatch(value)
         ):
             return _refuse("header line")
-        if lowered in seen and lowered in single:
+        if lowered in seen and lowered in singletons:
             return _refuse(f"{lowered.decode()} stands twice")
         seen[lowered] = value.strip()
     return _check_framing(seen)
--- a/citronport/callers/idempotency.py
+++ b/citronport/callers/idempotency.py
@@ -1,7 +1,7 @@
 """The record of keyed requests that this incarnation has taken.
 
-Pure: no socket, no task; the time is handed in. ``keeper`` acts on what is
-decided here.
+Pure: no socket, no task; the time is handed in. ``deduplication`` acts on
+what is decided here.
 """
 
 import collections
@@ -17,25 +17,25 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Join:
+class JoinRun:
     """The request has a run; read that run's answer from its start."""
 
     run: runs.Run
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Start:
+class StartRun:
     """The request has no run; start one here and add it."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class GoHome:
+class ForwardToHome:
     """Another instance holds the record of this request."""
 
     instance: str
 
 
-Verdict = Join | Start | GoHome
+Decision = JoinRun | StartRun | ForwardToHome
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -45,10 +45,10 @@
     issued: int | None
     run: runs.Run | None
     ended: float | None = None
-    alone_since: float | None = None
+    unread_since: float | None = None
 
 
-class Home:
+class RequestRecords:
     """Remembers each keyed request for as long as a repeat can be taken.
 
     Args:
@@ -75,10 +75,10 @@
         self._answer_bytes = answer_bytes
         self._running: dict[bytes, _Record] = {}
         self._ended: dict[bytes, _Record] = {}
-        self._answers: collections.deque[_Record] = collections.deque()
+        self._kept_answers: collections.deque[_Record] = collections.deque()
         self._ended_bytes = 0
 
-    def issue(self, now: float) -> tickets.Ticket:
+    def issue_ticket(self, now: float) -> tickets.Ticket:
         """Return a ticket for requests that are to start here."""
         return tickets.Ticket(
             instance=self.instance,
@@ -88,7 +88,7 @@
 
     def decide(
         self, identity: tickets.Identity, now: float
-    ) -> result.Result[Verdict, errors.Refusal]:
+    ) -> result.Result[Decision, errors.Refusal]:
         """Decide what becomes of a keyed submission.
 
         Args:
@@ -100,7 +100,7 @@
         """
         ticket = identity.ticket
         if ticket is not None and ticket.instance != self.instance:
-            return result.Ok(GoHome(instance=ticket.instance))
+            return result.Ok(ForwardToHome(instance=ticket.instance))
         # The records of an earlier incarnation died with it: the request
         # may have run, so that it may not start again here.
         if ticket is not None and ticket.incarnation != self.incarnation:
@@ -108,8 +108,10 @@
         key = _make_key(identity)
         record = self._running.get(key) or self._ended.get(key)
         if record is not None:
-            return _join(record, identity)
-        if ticket is not None and not self._accepts(ticket.issued, now):
+            return _join_run(record, identity)
+        if ticket is not None and not self._is_ticket_valid(
+            ticket.issued, now
+        ):
             return result.Err(errors.Refusal(code=errors.Code.TICKET_EXPIRED))
         # Load: more keyed requests than the sizes this is made for. Harm:
         # memory without bound; dropping a record early would let a repeat
@@ -118,10 +120,10 @@
             return result.Err(
                 errors.Refusal(
                     code=errors.Code.TOO_MANY_KEYS,
-                    retry_after=const.FULL_RETRY_SECONDS,
+                    retry_after=const.RECORDS_FULL_RETRY_SECONDS,
                 )
             )
-        return result.Ok(Start())
+        return result.Ok(StartRun())
 
     def add(self, identity: tickets.Identity, run: runs.Run) -> None:
         """Remember a run that was started after ``Start``."""
@@ -132,7 +134,7 @@
             run=run,
         )
 
-    def settle(self, run: runs.Run, now: float) -> None:
+    def record_end(self, run: runs.Run, now: float) -> None:
         """Note that a run has come to its end."""
         assert run.work.identity is not None
         key = _make_key(run.work.identity)
@@ -147,10 +149,10 @@
         run.forget_body()
         record.ended = now
         self._ended[key] = record
-        self._answers.append(record)
+        self._kept_answers.append(record)
         self._ended_bytes += _count_bytes(record)
 
-    def sweep(self, now: float) -> list[runs.Run]:
+    def remove_expired(self, now: float) -> list[runs.Run]:
         """Drop what no repeat can need; return runs to give up.
 
         Meant to be called about once a second.
@@ -167,7 +169,7 @@
         """Return the number of records."""
         return len(self._running) + len(self._ended)
 
-    def _accepts(self, issued: int, now: float) -> bool:
+    def _is_ticket_valid(self, issued: int, now: float) -> bool:
         # A ticket from the future was not issued here; its record would
         # be dropped while it could still start requests.
         age = now - self._started - issued
@@ -178,27 +180,27 @@
         # only at those it drops.
         while self._ended:
             key = next(iter(self._ended))
-            if not self._is_over(self._ended[key], now):
+            if not self._is_expired(self._ended[key], now):
                 return
-            self._forget_answer(self._ended.pop(key))
+            self._drop_answer(self._ended.pop(key))
 
-    def _is_over(self, record: _Record, now: float) -> bool:
+    def _is_expired(self, record: _Record, now: float) -> bool:
         assert record.ended is not None
-        if now - record.ended <= const.RECORD_KEEP_SECONDS:
+        if now - record.ended <= const.RECORD_RETENTION_SECONDS:
             return False
         # The rule that keeps a request from starting twice: a record
         # outlives its ticket, by the same test that lets one start.
         issued = record.issued
-        return issued is None or not self._accepts(issued, now)
+        return issued is None or not self._is_ticket_valid(issued, now)
 
     def _trim_answers(self) -> None:
         # Oldest ends go first, since a repeat mostly comes within seconds;
         # answers in progress only if nothing else is left.
-        while self._answers and self._answers[0].run is None:
-            self._answers.popleft()
+        while self._kept_answers and self._kept_answers[0].run is None:
+            self._kept_answers.popleft()
         growing = sum(map(_count_bytes, self._running.values()))
-        while self._answers and self._is_over_budget(growing):
-            self._forget_answer(self._answers.popleft())
+        while self._kept_answers and self._is_over_budget(growing):
+            self._drop_answer(self._kept_answers.popleft())
         for record in self._running.values():
             if not self._is_over_budget(growing) or record.run is None:
                 return
@@ -208,7 +210,7 @@
     def _is_over_budget(self, growing: int) -> bool:
         return self._ended_bytes + growing > self._answer_bytes
 
-    def _forget_answer(self, record: _Record) -> None:
+    def _drop_answer(self, record: _Record) -> None:
         self._ended_bytes -= _count_bytes(record)
         record.run = None
 
@@ -216,17 +218,17 @@
 def _count_bytes(record: _Record) -> int:
     if record.run is None:
         return 0
-    return const.RUN_BYTES + record.run.kept_bytes
+    return const.RUN_OVERHEAD_BYTES + record.run.kept_bytes
 
 
-def _join(
+def _join_run(
     record: _Record, identity: tickets.Identity
-) -> result.Result[Verdict, errors.Refusal]:
+) -> result.Result[Decision, errors.Refusal]:
     if record.body_hash != identity.body_hash:
         return result.Err(errors.Refusal(code=errors.Code.KEY_REUSED))
     if record.run is None or not record.run.answer_kept:
         return result.Err(errors.Refusal(code=errors.Code.ANSWER_NOT_KEPT))
-    return result.Ok(Join(run=record.run))
+    return result.Ok(JoinRun(run=record.run))
 
 
 def _is_abandoned(record: _Record, now: float) -> bool:
@@ -235,11 +237,11 @@
     # only once is finished: stopped half-way it could not be repeated.
     run = record.run
     if run is None or run.has_readers or not run.work.request.idempotent:
-        record.alone_since = None
+        record.unread_since = None
         return False
-    if record.alone_since is None:
-        record.alone_since = now
-    return now - record.alone_since >= const.LINGER_SECONDS
+    if record.unread_since is None:
+        record.unread_since = now
+    return now - record.unread_since >= const.ABANDONED_RUN_GRACE_SECONDS
 
 
 def _make_key(identity: tickets.Identity) -> bytes:
--- a/citronport/callers/lookup.py
+++ b/citronport/callers/lookup.py
@@ -22,7 +22,7 @@
         published: catalogue and instance list.
         instance: name of this instance.
         is_leaving: whether this instance takes no new work.
-        get_dead: names of instances that are out of reach.
+        get_unreachable: names of instances that are out of reach.
         get_owners: instance by endpoint.
         ticker: the clock.
     """
@@ -32,24 +32,24 @@
         published: store.Store,
         instance: str,
         is_leaving: collections.abc.Callable[[], bool],
-        get_dead: collections.abc.Callable[[], frozenset[str]],
+        get_unreachable: collections.abc.Callable[[], frozenset[str]],
         get_owners: collections.abc.Callable[[], dict[str, str]],
         ticker: clock.Clock,
     ) -> None:
         self._published = published
         self._instance = instance
         self._is_leaving = is_leaving
-        self._get_dead = get_dead
+        self._get_unreachable = get_unreachable
         self._get_owners = get_owners
         self._ticker = ticker
-        self._ranked: dict[str, list[str]] = {}
-        self._ranked_for: tuple[str, ...] = ()
+        self._ranking_by_workspace: dict[str, list[str]] = {}
+        self._ranked_instances: tuple[str, ...] = ()
         self._usable: tuple[str, ...] = ()
-        self._usable_for: tuple[Any, ...] = ()
+        self._usable_inputs: tuple[Any, ...] = ()
         self._weights: collections.Counter[str] = collections.Counter()
-        self._weighed_for: models.Fleet | None = None
-        self._serving: dict[str, set[str]] = {}
-        self._serving_since = -math.inf
+        self._weights_fleet: models.Fleet | None = None
+        self._owners_by_model: dict[str, set[str]] = {}
+        self._owners_read_at = -math.inf
 
     def find(
         self, workspace: str, *, model: str = "", caller: str = ""
@@ -64,14 +64,14 @@
         """
         usable = self._list_usable()
         ranked = self._rank(workspace, usable)
-        size = self._get_window(workspace, len(ranked))
+        size = self._get_window_size(workspace, len(ranked))
         window = rotate(ranked[:size], caller or secrets.token_hex(4))
         owners = self._find_owners(model)
         # An entry that owns a fitting endpoint sends to it by itself; each
         # other one relays every byte of the answer a second time.
         window.sort(key=lambda name: name not in owners)
         ordered = [*window, *ranked[size:]]
-        return self._get_addresses(ordered[: const.LOOKUP_ADDRESSES])
+        return self._get_addresses(ordered[: const.MAX_LOOKUP_ADDRESSES])
 
     def is_leaving(self) -> bool:
         """Return whether this instance takes no new work."""
@@ -81,30 +81,30 @@
         """Return where to go instead of here, in an order by chance."""
         names = [n for n in self._list_usable() if n != self._instance]
         others = rotate(names, secrets.token_hex(4))
-        return self._get_addresses(others[: const.GO_TO_ADDRESSES])
+        return self._get_addresses(others[: const.MAX_GO_TO_ADDRESSES])
 
     def _list_usable(self) -> tuple[str, ...]:
         # Looks at all instances once for each change of what they depend
         # on; the store replaces its values and never alters them.
-        depends = (
+        inputs = (
             self._published.instances,
             self._published.fleet,
-            self._get_dead(),
+            self._get_unreachable(),
             self._is_leaving(),
         )
-        if not _are_same(depends, self._usable_for):
-            self._usable_for = depends
+        if not _are_same(inputs, self._usable_inputs):
+            self._usable_inputs = inputs
             self._usable = self._select_usable()
         return self._usable
 
     def _select_usable(self) -> tuple[str, ...]:
-        _, _, dead, leaving = self._usable_for
+        _, _, unreachable, leaving = self._usable_inputs
         data_centres = self._get_data_centres()
         return tuple(
             name
             for name, instance in self._published.instances.items()
             if is_in_service(instance, data_centres)
-            and name not in dead
+            and name not in unreachable
             and not (name == self._instance and leaving)
         )
 
@@ -115,33 +115,33 @@
     def _rank(self, workspace: str, usable: tuple[str, ...]) -> list[str]:
         # Ranking costs a hash for each instance: once for each workspace
         # and change of the list, not once a lookup.
-        if usable is not self._ranked_for:
-            self._ranked = {}
-            self._ranked_for = usable
-        if workspace not in self._ranked:
-            self._ranked[workspace] = ownership.rank_instances(
+        if usable is not self._ranked_instances:
+            self._ranking_by_workspace = {}
+            self._ranked_instances = usable
+        if workspace not in self._ranking_by_workspace:
+            self._ranking_by_workspace[workspace] = ownership.rank_instances(
                 workspace, usable
             )
-        return self._ranked[workspace]
+        return self._ranking_by_workspace[workspace]
 
     def _find_owners(self, model: str) -> set[str]:
         # All endpoints are looked at once a second, not once a lookup; an
         # owner that has changed since costs a hop and nothing else.
         now = self._ticker.now()
-        if now - self._serving_since >= const.OWNERS_KEEP_SECONDS:
+        if now - self._owners_read_at >= const.OWNERS_CACHE_SECONDS:
             owners = self._get_owners()
-            self._serving = map_owners(self._published.fleet, owners)
-            self._serving_since = now
-        return self._serving.get(model, set())
+            self._owners_by_model = map_owners(self._published.fleet, owners)
+            self._owners_read_at = now
+        return self._owners_by_model.get(model, set())
 
-    def _get_window(self, workspace: str, instances: int) -> int:
+    def _get_window_size(self, workspace: str, instances: int) -> int:
         fleet = self._published.fleet
-        if fleet is not self._weighed_for:
+        if fleet is not self._weights_fleet:
             self._weights = sum_weights(fleet)
-            self._weighed_for = fleet
+            self._weights_fleet = fleet
         total = sum(self._weights.values()) or 1.0
         share = self._weights[workspace] / total
-        return get_window(share, instances)
+        return get_window_size(share, instances)
 
     def _get_addresses(self, names: list[str]) -> tuple[str, ...]:
         listed = self._published.instances
@@ -164,8 +164,10 @@
     instance: models.Instance, data_centres: dict[str, models.Service]
 ) -> bool:
     """Return whether an instance and its data centre are in service."""
-    place = data_centres.get(instance.data_centre, models.Service.IN)
-    return instance.state == models.Service.IN == place
+    data_centre_state = data_centres.get(
+        instance.data_centre, models.Service.IN
+    )
+    return instance.state == models.Service.IN == data_centre_state
 
 
 def sum_weights(fleet: models.Fleet | None) -> collections.Counter[str]:
@@ -180,18 +182,21 @@
     fleet: models.Fleet | None, owners: dict[str, str]
 ) -> dict[str, set[str]]:
     """Return, by model, the instances that own an endpoint with it."""
-    serving: dict[str, set[str]] = {}
+    owners_by_model: dict[str, set[str]] = {}
     for endpoint in fleet.endpoints.values() if fleet else ():
-        place = fleet.data_centres.get(endpoint.data_centre)
+        data_centre_state = fleet.data_centres.get(endpoint.data_centre)
         owner = owners.get(endpoint.name)
-        if owner is None or not endpoint.state == models.Service.IN == place:
+        if (
+            owner is None
+            or not endpoint.state == models.Service.IN == data_centre_state
+        ):
             continue
         for model in endpoint.models:
-            serving.setdefault(model, set()).add(owner)
-    return serving
+            owners_by_model.setdefault(model, set()).add(owner)
+    return owners_by_model
 
 
-def get_window(share: float, instances: int) -> int:
+def get_window_size(share: float, instances: int) -> int:
     """Return over how many entries a workspace is spread.
 
     Load: workspaces of unlike size, a few of them large. Harm: a large one
@@ -205,8 +210,8 @@
         share: of all workspaces' weight, 0 to 1.
         instances: entries in service.
     """
-    wanted = math.ceil(const.WINDOW_SPARE * share * instances)
-    return min(instances, max(const.MIN_WINDOW, wanted))
+    size = math.ceil(const.WINDOW_HEADROOM * share * instances)
+    return min(instances, max(const.MIN_WINDOW_SIZE, size))
 
 
 def rotate(names: collections.abc.Sequence[str], caller: str) -> list[str]:
--- a/citronport/callers/request_headers.py
+++ b/citronport/callers/request_headers.py
@@ -32,17 +32,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Marks:
+class RequestHeaders:
     """What the headers say of a request.
 
     Attributes:
-        seconds: time until the deadline.
+        timeout: seconds until the deadline.
         key: the caller's idempotency key, empty without one.
         ticket: None without one.
         idempotent: False if it may run at most once.
     """
 
-    seconds: float
+    timeout: float
     key: str
     ticket: tickets.Ticket | None
     idempotent: bool
@@ -61,31 +61,33 @@
     return Target(path=f"/{rest}", ticket=ticket)
 
 
-def read_marks(
+def parse_headers(
     environ: Environ, target: Target
-) -> result.Result[Marks, errors.Refusal]:
+) -> result.Result[RequestHeaders, errors.Refusal]:
     """Return the marks of a request, or which header is wrong."""
     seconds = _read_deadline(environ)
     if seconds is None:
-        return result.Err(_bad_header(common.HEADER_DEADLINE))
+        return result.Err(_refuse_header(common.HEADER_DEADLINE))
     key = get_header(environ, common.HEADER_IDEMPOTENCY_KEY)
     if len(key) > const.MAX_KEY_CHARS:
-        return result.Err(_bad_header(common.HEADER_IDEMPOTENCY_KEY))
+        return result.Err(_refuse_header(common.HEADER_IDEMPOTENCY_KEY))
     match _read_ticket(environ, target):
         case result.Err(refusal):
             return result.Err(refusal)
         case result.Ok(ticket):
             pass
-    marked = get_header(environ, common.HEADER_NON_IDEMPOTENT)
-    if marked.lower() not in const.MARK_VALUES:
-        return result.Err(_bad_header(common.HEADER_NON_IDEMPOTENT))
-    idempotent = not const.MARK_VALUES[marked.lower()]
+    flag = get_header(environ, common.HEADER_NON_IDEMPOTENT)
+    if flag.lower() not in const.FLAG_VALUES:
+        return result.Err(_refuse_header(common.HEADER_NON_IDEMPOTENT))
+    idempotent = not const.FLAG_VALUES[flag.lower()]
     # Without a ticket a repeat at another entry, or at the next
     # incarnation of this one, could not be told from a new request.
     if not idempotent and not (key and ticket):
         return result.Err(errors.Refusal(code=errors.Code.TICKET_NEEDED))
     return result.Ok(
-        Marks(seconds=seconds, key=key, ticket=ticket, idempotent=idempotent)
+        RequestHeaders(
+            timeout=seconds, key=key, ticket=ticket, idempotent=idempotent
+        )
     )
 
 
@@ -99,7 +101,7 @@
 ) -> result.Result[tickets.Ticket | None, errors.Refusal]:
     text = get_header(environ, common.HEADER_TICKET)
     if text and target.ticket and text != target.ticket:
-        return result.Err(_bad_header(common.HEADER_TICKET))
+        return result.Err(_refuse_header(common.HEADER_TICKET))
     text = text or target.ticket
     if not text:
         return result.Ok(None)
@@ -119,5 +121,5 @@
     return seconds
 
 
-def _bad_header(name: str) -> errors.Refusal:
+def _refuse_header(name: str) -> errors.Refusal:
     return errors.Refusal(code=errors.Code.BAD_HEADER, detail=name)
--- a/citronport/callers/server.py
+++ b/citronport/callers/server.py
@@ -15,13 +15,17 @@
 from citronport.callers import bodies
 from citronport.callers import connections
 from citronport.callers import const
-from citronport.callers import heads
-from citronport.callers import presence
+from citronport.callers import disconnects
+from citronport.callers import head_validation
 from citronport.callers import replies
 
 LOG = "callers:"
 _HEAD_END = b"\r\n\r\n"
-_QUIET = (presence.CallerGone, replies.StreamCutError, OSError)
+_EXPECTED_ERRORS = (
+    disconnects.CallerDisconnected,
+    replies.StreamCutError,
+    OSError,
+)
 
 
 class Handler(pywsgi.WSGIHandler):
@@ -41,10 +45,8 @@
             self._read_head()
             # Only now, so that heads sent byte by byte neither keep a
             # leaving instance from its end nor hold a place for long.
-            self.server.connections.set_busy(
-                self.socket, self.client_address[0]
-            )
-        except heads.HeadError as error:
+            self.server.tracker.set_busy(self.socket, self.client_address[0])
+        except head_validation.HeadError as error:
             self._refuse(error.refusal)
             return None
         except OSError:
@@ -53,7 +55,7 @@
         self.application = self.server.application
         self.handle_one_response()
         self.wsgi_input.release()
-        if not self.wsgi_input.whole:
+        if not self.wsgi_input.complete:
             self._discard_rest()
             return None
         return None if self.close_connection else True
@@ -78,17 +80,17 @@
 
     def run_application(self) -> None:
         """Run the application; stop when the caller leaves."""
-        self._watch: presence.Watch | None = None
+        self._watcher: disconnects.DisconnectWatcher | None = None
         try:
             super().run_application()
         finally:
-            if self._watch is not None:
-                self._watch.stop()
+            if self._watcher is not None:
+                self._watcher.stop()
 
     def handle_error(self, kind: type, error: Any, traceback: Any) -> None:
         """Close the connection after a failure while answering."""
         self.close_connection = True
-        if issubclass(kind, _QUIET):
+        if issubclass(kind, _EXPECTED_ERRORS):
             return
         # The message of an unexpected error may hold the caller's content.
         while traceback.tb_next is not None:
@@ -108,13 +110,13 @@
         """Keep no access log: paths may hold a ticket."""
 
     def _wait_for_request(self) -> bool:
-        held = self.server.connections
-        self.socket.settimeout(held.limits.idle_seconds)
-        held.set_idle(self.socket, self.client_address[0])
+        tracker = self.server.tracker
+        self.socket.settimeout(tracker.limits.idle_seconds)
+        tracker.set_idle(self.socket, self.client_address[0])
         return bool(self.rfile.peek(1))
 
     def _read_head(self) -> None:
-        limits = self.server.connections.limits
+        limits = self.server.tracker.limits
         self.socket.settimeout(limits.send_seconds)
         # Most heads come in one piece and need no timer.
         if _HEAD_END in self.rfile.peek(1):
@@ -135,10 +137,10 @@
             # One empty line before a request is allowed by RFC 9112.
             line = self._read_line()
         text = line.decode("latin-1")
-        _raise_if_refused(heads.check_request_line(text))
+        _raise_if_refused(head_validation.check_request_line(text))
         lines = self._read_header_lines()
         _raise_if_refused(
-            heads.check_headers(lines, self.server.single_headers)
+            head_validation.check_headers(lines, self.server.singleton_headers)
         )
         self.requestline = text
         self.command, self.path, self.request_version = text.split()
@@ -174,18 +176,18 @@
             self.rfile,
             int(length) if length else None,
             chunked="transfer-encoding" in self._fields,
-            continue_to=self.socket if waits else None,
-            held=self.server.connections,
-            on_whole=self._start_watch,
+            continue_socket=self.socket if waits else None,
+            tracker=self.server.tracker,
+            on_complete=self._watch_for_disconnect,
         )
 
-    def _start_watch(self) -> None:
+    def _watch_for_disconnect(self) -> None:
         serving = gevent.getcurrent()
 
         def end() -> None:
-            serving.kill(presence.CallerGone, block=False)
+            serving.kill(disconnects.CallerDisconnected, block=False)
 
-        self._watch = presence.Watch(self.socket, end)
+        self._watcher = disconnects.DisconnectWatcher(self.socket, end)
 
     def _refuse(self, refusal: errors.Refusal) -> None:
         with contextlib.suppress(OSError):
@@ -200,19 +202,19 @@
     """Takes connections of callers within their limits."""
 
     handler_class = Handler
-    connections: connections.Connections
-    single_headers = heads.SINGLE
-    _refusing = 0
+    tracker: connections.ConnectionTracker
+    singleton_headers = head_validation.SINGLETON_HEADERS
+    _open_refusals = 0
 
     def handle(self, sock: socket.socket, address: tuple[str, int]) -> None:
         """Serve a connection, or refuse it if there is no room."""
-        if not self.connections.enter(sock, address[0]):
+        if not self.tracker.add(sock, address[0]):
             self._refuse(sock)
             return
         try:
             super().handle(sock, address)
         finally:
-            self.connections.exit(sock)
+            self.tracker.remove(sock)
 
     def close(self) -> None:
         """Stop listening, after what has connected was taken."""
@@ -224,21 +226,21 @@
 
     def is_idle(self) -> bool:
         """Return whether no connection carries a request."""
-        return self.connections.is_idle()
+        return self.tracker.is_idle()
 
     def _refuse(self, sock: socket.socket) -> None:
-        if self._refusing >= const.MAX_REFUSING:
+        if self._open_refusals >= const.MAX_CONCURRENT_REFUSALS:
             return
-        self._refusing += 1
+        self._open_refusals += 1
         refusal = errors.Refusal(
             code=errors.Code.TOO_MANY_CALLERS,
             retry_after=const.FULL_CONNECTIONS_RETRY_SECONDS,
         )
         with contextlib.suppress(OSError):
-            sock.settimeout(const.DISCARD_SECONDS)
+            sock.settimeout(const.DISCARD_TIMEOUT_SECONDS)
             sock.sendall(_render(refusal))
         _discard(sock)
-        self._refusing -= 1
+        self._open_refusals -= 1
 
 
 def make_server(
@@ -249,7 +251,7 @@
 ) -> Server:
     """Return a server for callers; ``start`` makes it listen."""
     server = Server((address, port), application, log=None, error_log=None)
-    server.connections = connections.Connections(
+    server.tracker = connections.ConnectionTracker(
         limits or connections.make_limits()
     )
     server.init_socket()
@@ -282,10 +284,10 @@
 
 
 def _discard(sock: socket.socket) -> None:
-    left = const.DISCARD_BYTES
+    left = const.MAX_DISCARD_BYTES
     with (
         contextlib.suppress(OSError),
-        gevent.Timeout(const.DISCARD_SECONDS, False),
+        gevent.Timeout(const.DISCARD_TIMEOUT_SECONDS, False),
     ):
         sock.shutdown(socket.SHUT_WR)
         while left > 0 and (data := sock.recv(io.DEFAULT_BUFFER_SIZE)):
@@ -293,10 +295,10 @@
 
 
 def _raise_refusal(code: errors.Code) -> None:
-    raise heads.HeadError(errors.Refusal(code=code))
+    raise head_validation.HeadError(errors.Refusal(code=code))
 
 
 def _raise_if_refused(checked: result.Result[None, errors.Refusal]) -> None:
     match checked:
         case result.Err(refusal):
-            raise heads.HeadError(refusal)
+            raise head_validation.HeadError(refusal)
--- a/citronport/callers/submissions.py
+++ b/citronport/callers/submissions.py
@@ -9,16 +9,16 @@
 from citronport import errors
 from citronport import runs
 from citronport.callers import const
-from citronport.callers import marks
 from citronport.callers import models
+from citronport.callers import request_headers
 from citronport.callers import tickets
 from citronport.endpoints import client as endpoint_client
 from citronport.scheduler import models as decisions
 
 
 def parse(
-    environ: marks.Environ,
-    target: marks.Target,
+    environ: request_headers.Environ,
+    target: request_headers.Target,
     entry: decisions.Entry,
     now: float,
 ) -> result.Result[runs.Work, errors.Refusal]:
@@ -30,12 +30,12 @@
         entry: the catalogue entry it came in under.
         now: clock time, seconds.
     """
-    match marks.read_marks(environ, target):
+    match request_headers.parse_headers(environ, target):
         case result.Err(refusal):
             return result.Err(refusal)
-        case result.Ok(marked):
+        case result.Ok(headers):
             pass
-    match environ["wsgi.input"].read_whole():
+    match environ["wsgi.input"].read_all():
         case result.Err(refusal):
             return result.Err(refusal)
         case result.Ok(body):
@@ -47,7 +47,7 @@
                 return result.Err(refusal)
             case result.Ok(chat):
                 pass
-    request = _make_request(target, entry, chat, marked, now)
+    request = _make_request(target, entry, chat, headers, now)
     call = endpoint_client.Call(
         request_id=request.request_id,
         method=environ["REQUEST_METHOD"],
@@ -57,13 +57,13 @@
             "Content-Type": environ["CONTENT_TYPE"] or "application/json"
         },
         stream=chat.stream if chat else False,
-        timeout=marked.seconds,
+        timeout=headers.timeout,
     )
-    identity = _make_identity(entry, call, marked)
+    identity = _make_identity(entry, call, headers)
     return result.Ok(runs.Work(request=request, call=call, identity=identity))
 
 
-def get_service(target: marks.Target) -> str | None:
+def get_service(target: request_headers.Target) -> str | None:
     """Return the name of the service at a path, None if there is none."""
     segments = urllib.parse.unquote(target.name).split("/")
     # A step upwards would leave the paths that are the service's own.
@@ -75,10 +75,10 @@
 
 
 def _make_request(
-    target: marks.Target,
+    target: request_headers.Target,
     entry: decisions.Entry,
     chat: models.Chat | None,
-    marked: marks.Marks,
+    headers: request_headers.RequestHeaders,
     now: float,
 ) -> decisions.Request:
     return decisions.Request(
@@ -91,21 +91,23 @@
         prompt_tokens=chat.prompt_tokens if chat else 0,
         max_tokens=chat.max_tokens if chat else 0,
         prefix=chat.prefix if chat else (),
-        deadline=now + marked.seconds,
-        idempotent=marked.idempotent,
+        deadline=now + headers.timeout,
+        idempotent=headers.idempotent,
         streamed=chat.stream if chat else False,
     )
 
 
 def _make_identity(
-    entry: decisions.Entry, call: endpoint_client.Call, marked: marks.Marks
+    entry: decisions.Entry,
+    call: endpoint_client.Call,
+    headers: request_headers.RequestHeaders,
 ) -> tickets.Identity | None:
-    if not marked.key:
+    if not headers.key:
         return None
     content = f"{call.method} {call.path} ".encode() + call.body
     return tickets.Identity(
         entry=entry.name,
-        key=marked.key,
-        ticket=marked.ticket,
+        key=headers.key,
+        ticket=headers.ticket,
         body_hash=xxhash.xxh3_64_intdigest(content),
     )
--- a/citronport/core.py
+++ b/citronport/core.py
@@ -19,8 +19,8 @@
 from citronport import trace
 from citronport.callers import application as caller_application
 from citronport.callers import const as caller_const
-from citronport.callers import home
-from citronport.callers import keeper
+from citronport.callers import deduplication
+from citronport.callers import idempotency
 from citronport.callers import lookup
 from citronport.callers import server as caller_server
 from citronport.callers import tickets
@@ -70,7 +70,9 @@
         self.published = store.Store()
         self.scheduler = scheduler_core.Scheduler(self.name)
         self.owners = ownership.Ownership(self.name, ticker.now())
-        self.records = home.Home(self.name, self.incarnation, ticker.now())
+        self.records = idempotency.RequestRecords(
+            self.name, self.incarnation, ticker.now()
+        )
         self._tracer = spans.make_tracer(
             self.name, settings.trace_file, settings.trace_share
         )
@@ -114,7 +116,7 @@
             lambda: self.assignment.current.owners,
             ticker,
         )
-        self.keeper = keeper.Keeper(
+        self.keeper = deduplication.Deduplicator(
             self.records,
             ticker,
             self.executor.submit,
@@ -336,11 +338,11 @@
 
     def _take_submission(self, work: runs.Work) -> runs.Run:
         telemetry.note_caller(work)
-        return self.keeper.take(work)
+        return self.keeper.submit(work)
 
     def _take_run(self, work: runs.Work, role: str) -> runs.Run:
         if role == instance_const.ROLE_HOME:
-            return self.keeper.take(work, forwarded=True)
+            return self.keeper.submit(work, forwarded=True)
         run = runs.Run(work, self.executor.leave)
         self.executor.submit(run, forwarded=True)
         return run
--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -96,7 +96,7 @@
         arrived = self._ticker.now()
         if self._is_leaving():
             start_response = _close_after(start_response)
-        match environ["wsgi.input"].read_whole():
+        match environ["wsgi.input"].read_all():
             case result.Err(refusal):
                 return self._refuse(
                     environ, start_response, refusal, close=True
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -396,7 +396,7 @@
         now = self._ticker.now()
         self.follower.returned = max(self.follower.returned, returned)
         self.world.apply(news, now, self.follower.returned)
-        self._callers.connections.limits = listeners.make_limits(
+        self._callers.tracker.limits = listeners.make_limits(
             self._settings, self.world.configuration
         )
         self.is_ready()
--- a/citronport/relay/listeners.py
+++ b/citronport/relay/listeners.py
@@ -22,7 +22,7 @@
     """Return the server for callers' requests."""
     limits = make_limits(settings, None)
     server = _make_server(settings.callers, application, limits)
-    server.single_headers = wire.SINGLE
+    server.singleton_headers = wire.SINGLE
     return server
 
 
@@ -33,14 +33,14 @@
     """Return what callers may send, and how long they may take."""
     limits = connections.Limits(
         connections=(settings.files - RESERVED_FILES) // 2,
-        bodies_bytes=int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE),
+        total_body_bytes=int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE),
     )
     if configuration is None:
         return limits
     told = configuration.limits
     return connections.Limits(
         connections=limits.connections,
-        bodies_bytes=limits.bodies_bytes,
+        total_body_bytes=limits.total_body_bytes,
         idle_seconds=told.idle_seconds,
         head_seconds=told.head_seconds,
         body_bytes=told.body_bytes,
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -6,7 +6,7 @@
 from geventhttpclient import response as http_response
 
 from citronport import errors
-from citronport.callers import presence
+from citronport.callers import disconnects
 from citronport.callers import replies
 from citronport.platform import requests
 from citronport.relay import dispatcher as dispatcher_module
@@ -71,7 +71,7 @@
                 raise
             self._note_silence(late=True)
             yield from self._fail(start_response, self._refuse_late())
-        except presence.CallerGone:
+        except disconnects.CallerDisconnected:
             self._note_silence(late=False)
             raise
         finally:
--- a/tests/callers/test_hostile.py
+++ b/tests/callers/test_hostile.py
@@ -11,8 +11,8 @@
 from citronport.callers import application
 from citronport.callers import connections
 from citronport.callers import const
-from citronport.callers import home
-from citronport.callers import keeper
+from citronport.callers import deduplication
+from citronport.callers import idempotency
 from citronport.callers import lookup
 from citronport.callers import server
 from citronport.catalogue import client as catalogue_client
@@ -33,7 +33,7 @@
     head_seconds=0.3,
     body_bytes=100_000,
     body_seconds=0.3,
-    bodies_bytes=300_000,
+    total_body_bytes=300_000,
     send_seconds=0.3,
 )
 
@@ -71,12 +71,14 @@
         """Start a server whose runs the test answers."""
         super().setUp()
         self.runs = []
-        self.left = []
+        self.abandoned = []
         self.answers = True
         self.leaving = False
         ticker = clock.RuntimeClock()
         published = make_published()
-        records = home.Home("entry-1", "incarnation", ticker.now())
+        records = idempotency.RequestRecords(
+            "entry-1", "incarnation", ticker.now()
+        )
         directory = lookup.Directory(
             published,
             "entry-1",
@@ -85,11 +87,11 @@
             dict,
             ticker,
         )
-        keeping = keeper.Keeper(
+        deduplicator = deduplication.Deduplicator(
             records,
             ticker,
             self.submit,
-            self.left.append,
+            self.abandoned.append,
             lambda run, instance: None,
             directory.is_leaving,
         )
@@ -97,7 +99,7 @@
             "127.50.10.1",
             0,
             application.Application(
-                published, records, ticker, keeping.take, directory
+                published, records, ticker, deduplicator.submit, directory
             ),
             LIMITS,
         )
@@ -252,7 +254,7 @@
         self.assertEqual((1008, 503), (code, status))
         for sock in held:
             sock.close()
-        self.wait_for(lambda: len(self.left) == 3)
+        self.wait_for(lambda: len(self.abandoned) == 3)
         self.answers = True
         self.wait_for(self.server.is_idle)
         self.assert_served()
@@ -266,7 +268,7 @@
         """
         friend = self.connect("127.50.10.4")
         idle = [self.connect() for _ in range(20)]
-        self.wait_for(lambda: len(self.server.connections) == 5)
+        self.wait_for(lambda: len(self.server.tracker) == 5)
         self.assert_served()
         friend.sendall(b"GET /v1/models HTTP/1.1\r\n" + HEAD + b"\r\n")
         self.assertTrue(friend.recv(100).startswith(b"HTTP/1.1 200"))
@@ -291,7 +293,7 @@
         self.answers = False
         headers = b"Content-Length: %d\r\n\r\n" % len(GOOD)
         for extra in (b"", b"GET /v1/models HTTP/1.1\r\n"):
-            self.left.clear()
+            self.abandoned.clear()
             self.runs.clear()
             sock = self.connect()
             sock.sendall(LINE + HEAD + headers + GOOD)
@@ -299,9 +301,9 @@
             sock.sendall(extra)
             gevent.sleep(0)
             sock.close()
-            self.wait_for(lambda: self.left == self.runs)
+            self.wait_for(lambda: self.abandoned == self.runs)
 
-    def test_stop_is_not_held_up(self):
+    def test_partial_requests_do_not_delay_shutdown(self):
         """A leaving instance refuses at once, and half a head is no work.
 
         A caller that sends its head byte by byte, or a body that it never
@@ -313,7 +315,7 @@
         begun = LINE + HEAD + b"Content-Length: 50\r\n\r\n{"
         self.assertEqual((2201, 503), self.exchange(begun)[:2])
         self.wait_for(self.server.is_idle)
-        self.assertEqual(1, len(self.server.connections))
+        self.assertEqual(1, len(self.server.tracker))
         self.assertEqual([], self.runs)
 
     def test_caller_that_reads_nothing(self):
@@ -328,6 +330,6 @@
         run.deliver(messages.Started(status=200, content_type="text/x"))
         data = b"a" * 10_000_000 + b"\n\n"
         run.deliver(messages.Chunk(offset=0, data=data))
-        self.wait_for(lambda: self.left == [run])
+        self.wait_for(lambda: self.abandoned == [run])
         self.answers = True
         self.assert_served()
--- a/tests/callers/test_idempotency.py
+++ b/tests/callers/test_idempotency.py
@@ -11,7 +11,7 @@
 from citronport import errors
 from citronport import runs
 from citronport.callers import const
-from citronport.callers import home
+from citronport.callers import idempotency
 from citronport.callers import tickets
 from citronport.endpoints import messages
 from tests import samples
@@ -34,36 +34,38 @@
     run.deliver(messages.Refused(refusal=errors.Refusal(code=code)))
 
 
-class Node:
+class Instance:
     """One instance: its records and what it started."""
 
     def __init__(self, name, ticker, **bounds):
         self.ticker = ticker
         incarnation = tickets.make_incarnation()
-        self.records = home.Home(name, incarnation, ticker.now(), **bounds)
+        self.records = idempotency.RequestRecords(
+            name, incarnation, ticker.now(), **bounds
+        )
 
-    def submit(self, identity, **marks):
-        """Return the verdict; a started run is added as the keeper does."""
-        verdict = self.records.decide(identity, self.ticker.now())
-        if verdict != result.Ok(home.Start()):
-            return verdict
+    def submit(self, identity, **options):
+        """Return the decision; a started run is added as the keeper does."""
+        decision = self.records.decide(identity, self.ticker.now())
+        if decision != result.Ok(idempotency.StartRun()):
+            return decision
         run = runs.Run(
-            make_work(identity, **marks),
+            make_work(identity, **options),
             lambda run: None,
             keep=True,
-            settle=lambda run: self.records.settle(run, self.ticker.now()),
+            settle=lambda run: self.records.record_end(run, self.ticker.now()),
         )
         self.records.add(identity, run)
         return run
 
 
-class Walk:
+class Simulation:
     """Two entries, their callers, and copies on the way between them."""
 
     def __init__(self):
         self.ticker = clock.ManualClock()
-        self.nodes = {}
-        self.wires = []
+        self.instances = {}
+        self.in_transit = []
         self.sent = []
         self.started = collections.defaultdict(list)
         for name in NAMES:
@@ -74,7 +76,9 @@
         name = NAMES[number % 2]
         match kind:
             case "send":
-                ticket = self.nodes[name].records.issue(self.ticker.now())
+                ticket = self.instances[name].records.issue_ticket(
+                    self.ticker.now()
+                )
                 identity = tickets.Identity(
                     entry="entry", key="key", ticket=ticket, body_hash=1
                 )
@@ -83,25 +87,27 @@
             case "repeat" if self.sent:
                 identity = self.sent[-1 - number // 2 % len(self.sent)]
                 self.submit(name, identity)
-            case "arrive" if self.wires:
-                self.submit(*self.wires.pop(number % len(self.wires)))
+            case "arrive" if self.in_transit:
+                self.submit(
+                    *self.in_transit.pop(number % len(self.in_transit))
+                )
             case "end":
                 self.end(number)
             case "restart":
                 self.restart(name)
             case "wait":
                 self.ticker.advance((1, 99, 200, 301)[number % 4])
-                for node in self.nodes.values():
-                    node.records.sweep(self.ticker.now())
+                for each in self.instances.values():
+                    each.records.remove_expired(self.ticker.now())
 
     def submit(self, name, identity):
         """Hand a copy to an entry; note what it starts."""
-        outcome = self.nodes[name].submit(identity)
+        outcome = self.instances[name].submit(identity)
         match outcome:
             case runs.Run():
                 self.started[identity].append(outcome)
-            case result.Ok(home.GoHome(instance=instance)):
-                self.wires.append((instance, identity))
+            case result.Ok(idempotency.ForwardToHome(instance=instance)):
+                self.in_transit.append((instance, identity))
 
     def end(self, number):
         """Let a run end: whole, not run, or unknown."""
@@ -119,7 +125,7 @@
 
     def restart(self, name):
         """Replace an entry by a new process."""
-        self.nodes[name] = Node(name, self.ticker)
+        self.instances[name] = Instance(name, self.ticker)
 
 
 class InterleavingTest(testtools.TestCase):
@@ -143,26 +149,28 @@
         its way home arrives at any later moment, as behind a process that
         is frozen. What was refused as "not run" may start again.
         """
-        walk = Walk()
+        simulation = Simulation()
         for kind, number in steps:
-            walk.step(kind, number)
-            for started in walk.started.values():
+            simulation.step(kind, number)
+            for started in simulation.started.values():
                 ran = sum(not run.was_not_run for run in started)
                 self.assertLessEqual(ran, 1)
 
 
-class HomeTest(testtools.TestCase):
+class RequestRecordsTest(testtools.TestCase):
     """Single rules of the record."""
 
     def setUp(self):
         """Make an instance with small bounds."""
         super().setUp()
         self.ticker = clock.ManualClock()
-        self.node = Node("e", self.ticker, max_records=2, answer_bytes=3000)
+        self.instance = Instance(
+            "e", self.ticker, max_records=2, answer_bytes=3000
+        )
 
     def make_identity(self, key="key-1", *, ticket=True, body_hash=1):
         """Return an identity under a fresh ticket, or without one."""
-        issued = self.node.records.issue(self.ticker.now())
+        issued = self.instance.records.issue_ticket(self.ticker.now())
         return tickets.Identity(
             entry="entry",
             key=key,
@@ -176,34 +184,34 @@
 
     def test_other_body_under_a_used_key(self):
         """A key that comes with another body is refused."""
-        self.node.submit(self.make_identity())
-        outcome = self.node.submit(self.make_identity(body_hash=2))
+        self.instance.submit(self.make_identity())
+        outcome = self.instance.submit(self.make_identity(body_hash=2))
         self.assert_code(errors.Code.KEY_REUSED, outcome)
 
     def test_ticket_from_the_future(self):
         """A ticket that was never issued starts nothing."""
-        ticket = self.node.records.issue(self.ticker.now() + 5)
+        ticket = self.instance.records.issue_ticket(self.ticker.now() + 5)
         identity = tickets.Identity(
             entry="entry", key="key", ticket=ticket, body_hash=1
         )
-        outcome = self.node.submit(identity)
+        outcome = self.instance.submit(identity)
         self.assert_code(errors.Code.TICKET_EXPIRED, outcome)
 
-    def test_long_run_is_found_after_its_ticket_expired(self):
+    def test_long_run_is_joined_after_its_ticket_expired(self):
         """A repeat joins a run of 600 s, and its end for a while."""
         identity = self.make_identity()
-        run = self.node.submit(identity)
+        run = self.instance.submit(identity)
         self.ticker.advance(600)
-        self.node.records.sweep(self.ticker.now())
-        joined = result.Ok(home.Join(run=run))
-        self.assertEqual(joined, self.node.submit(identity))
+        self.instance.records.remove_expired(self.ticker.now())
+        joined = result.Ok(idempotency.JoinRun(run=run))
+        self.assertEqual(joined, self.instance.submit(identity))
         run.deliver(messages.Finished(size=0))
-        self.ticker.advance(const.RECORD_KEEP_SECONDS)
-        self.node.records.sweep(self.ticker.now())
-        self.assertEqual(joined, self.node.submit(identity))
+        self.ticker.advance(const.RECORD_RETENTION_SECONDS)
+        self.instance.records.remove_expired(self.ticker.now())
+        self.assertEqual(joined, self.instance.submit(identity))
         self.ticker.advance(1)
-        self.node.records.sweep(self.ticker.now())
-        outcome = self.node.submit(identity)
+        self.instance.records.remove_expired(self.ticker.now())
+        outcome = self.instance.submit(identity)
         self.assert_code(errors.Code.TICKET_EXPIRED, outcome)
 
     def test_memory_is_bounded(self):
@@ -211,32 +219,38 @@
         first = self.make_identity("key-1")
         second = self.make_identity("key-2")
         for identity in (first, second):
-            run = self.node.submit(identity)
+            run = self.instance.submit(identity)
             run.deliver(messages.Chunk(offset=0, data=b"12345678"))
             run.deliver(messages.Finished(size=8))
-        self.node.records.sweep(self.ticker.now())
-        outcome = self.node.submit(first)
+        self.instance.records.remove_expired(self.ticker.now())
+        outcome = self.instance.submit(first)
         self.assert_code(errors.Code.ANSWER_NOT_KEPT, outcome)
-        self.assertTrue(self.node.submit(second).is_ok())
-        outcome = self.node.submit(self.make_identity("key-3"))
+        self.assertTrue(self.instance.submit(second).is_ok())
+        outcome = self.instance.submit(self.make_identity("key-3"))
         self.assert_code(errors.Code.TOO_MANY_KEYS, outcome)
-        self.ticker.advance(const.RECORD_KEEP_SECONDS + 1)
-        self.node.records.sweep(self.ticker.now())
-        self.assertEqual(0, len(self.node.records))
+        self.ticker.advance(const.RECORD_RETENTION_SECONDS + 1)
+        self.instance.records.remove_expired(self.ticker.now())
+        self.assertEqual(0, len(self.instance.records))
 
-    def test_abandoned_run_is_given_up_after_a_while(self):
+    def test_abandoned_run_is_stopped_after_grace_period(self):
         """A run without readers goes on for the linger time only.
 
         A caller whose link broke is back within seconds; later the work
         is for nobody. What may run only once goes on to its end.
         """
-        run = self.node.submit(self.make_identity())
-        self.node.submit(self.make_identity("key-2"), idempotent=False)
+        run = self.instance.submit(self.make_identity())
+        self.instance.submit(self.make_identity("key-2"), idempotent=False)
         inbox = run.attach()
         for _ in range(2):
-            self.assertEqual([], self.node.records.sweep(self.ticker.now()))
-            self.ticker.advance(const.LINGER_SECONDS)
+            self.assertEqual(
+                [], self.instance.records.remove_expired(self.ticker.now())
+            )
+            self.ticker.advance(const.ABANDONED_RUN_GRACE_SECONDS)
         run.detach(inbox)
-        self.assertEqual([], self.node.records.sweep(self.ticker.now()))
-        self.ticker.advance(const.LINGER_SECONDS)
-        self.assertEqual([run], self.node.records.sweep(self.ticker.now()))
+        self.assertEqual(
+            [], self.instance.records.remove_expired(self.ticker.now())
+        )
+        self.ticker.advance(const.ABANDONED_RUN_GRACE_SECONDS)
+        self.assertEqual(
+            [run], self.instance.records.remove_expired(self.ticker.now())
+        )
--- a/tests/callers/test_identity.py
+++ b/tests/callers/test_identity.py
@@ -28,13 +28,13 @@
 
     def book(self, address, headers, **options):
         """Send the reservation."""
-        marked = {"X-Non-Idempotent": "true", **headers}
+        all_headers = {"X-Non-Idempotent": "true", **headers}
         return caller.send(
             address,
             fleets.KEY,
             fleets.BOOK,
             {"die": 7},
-            headers=marked,
+            headers=all_headers,
             **options,
         )
 
--- a/tests/callers/test_lookup.py
+++ b/tests/callers/test_lookup.py
@@ -54,13 +54,13 @@
         super().setUp()
         self.published = make_published(12)
         self.leaving = False
-        self.dead = frozenset()
+        self.unreachable = frozenset()
         self.owners = {}
         self.directory = lookup.Directory(
             self.published,
             "entry-0",
             lambda: self.leaving,
-            lambda: self.dead,
+            lambda: self.unreachable,
             lambda: self.owners,
             clock.ManualClock(),
         )
@@ -86,9 +86,9 @@
         }
         self.assertEqual(1, len(orders))
 
-    def test_who_is_out_is_left_out(self):
+    def test_unavailable_entries_are_omitted(self):
         """Leaving and dead entries and data centres out are not named."""
-        self.dead = frozenset({"entry-1"})
+        self.unreachable = frozenset({"entry-1"})
         self.leaving = True
         self.published.fleet.data_centres["dc-2"] = models.Service.OUT
         found = self.directory.find("large")
--- a/tests/callers/test_models.py
+++ b/tests/callers/test_models.py
@@ -7,8 +7,8 @@
 
 from citronport import errors
 from citronport.callers import const
-from citronport.callers import marks
 from citronport.callers import models
+from citronport.callers import request_headers
 from citronport.callers import submissions
 
 MESSAGE = b'{"role":"u","content":"x"}'
@@ -49,13 +49,13 @@
             "/other/claims": None,
         }
         for path, name in cases.items():
-            target = marks.Target(path=path, ticket="")
+            target = request_headers.Target(path=path, ticket="")
             self.assertEqual(name, submissions.get_service(target), path)
 
     def test_ticket_before_the_path(self):
         """A ticket in the path is taken off it."""
         environ = {const.ENVIRON_TARGET: "/t/e.i.7/v1/models?a=b"}
         self.assertEqual(
-            marks.Target(path="/v1/models?a=b", ticket="e.i.7"),
-            marks.read_target(environ),
+            request_headers.Target(path="/v1/models?a=b", ticket="e.i.7"),
+            request_headers.read_target(environ),
         )
--- a/tests/callers/test_openai.py
+++ b/tests/callers/test_openai.py
@@ -54,7 +54,7 @@
             if action["kind"] == "Refuse"
         ]
 
-    def test_models_whole_and_stream(self):
+    def test_models_and_both_answer_forms(self):
         """The three calls that callers use, and a keyed repeat.
 
         A ticket in the base URL is enough for a client that sets no
@@ -84,7 +84,7 @@
             ids.add(chunks[0].id)
         self.assertEqual(1, len(ids))
 
-    def test_client_comes_back_when_told(self):
+    def test_client_retries_as_told(self):
         """A refusal "not run" is repeated by the client itself.
 
         The only engine's data centre is out: the entry beside it sends
--- a/tests/endpoints/test_client.py
+++ b/tests/endpoints/test_client.py
@@ -23,7 +23,7 @@
 END = b"e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
 
 
-class Notes:
+class MemoryJournal:
     """A journal in memory."""
 
     def __init__(self):
@@ -52,9 +52,9 @@
 
     def serve_engine(self, **shape):
         """Serve the stand-in engine; return it and its address."""
-        self.notes = Notes()
+        self.journal = MemoryJournal()
         fast = {"name": "engine", "cold_seconds": 0.0, "decode_rate": 500.0}
-        made = engine.Engine(engine.Shape(**fast, **shape), self.notes)
+        made = engine.Engine(engine.Shape(**fast, **shape), self.journal)
         listening = pywsgi.WSGIServer(
             (ADDRESS, 0), made, log=None, error_log=None
         )
@@ -81,7 +81,7 @@
             deliver or self.pieces.append,
         )
 
-    def join(self):
+    def join_answer(self):
         """Return the answer's bytes; check that it has no seam."""
         joined = b""
         for piece in self.pieces:
@@ -106,9 +106,9 @@
             self.pieces.append(message)
 
         self.assertTrue(self.call(self.serve(handle), deliver=deliver).is_ok())
-        self.assertEqual(b"data: data: [DONE]\n\n", self.join())
+        self.assertEqual(b"data: data: [DONE]\n\n", self.join_answer())
 
-    def test_cut_stream_goes_on_where_it_was_cut(self):
+    def test_interrupted_stream_is_resumed(self):
         """The caller sees one whole answer; the engine ran it once.
 
         The connection to the engine breaks in the middle of the stream.
@@ -127,16 +127,16 @@
         encoded = caller.encode_body(body)
         answer = self.call(address, deliver=deliver, body=encoded)
         self.assertEqual(40, answer.unwrap().output_tokens)
-        events = [e for e in self.join().split(b"\n\n") if e][:-1]
+        events = [e for e in self.join_answer().split(b"\n\n") if e][:-1]
         tokens = [
             json.loads(e.removeprefix(b"data: "))["choices"][0]["delta"]
             for e in events
         ]
         text = "".join(token.get("content", "") for token in tokens)
         self.assertEqual(caller.make_expected(body), text)
-        self.assertEqual(1, self.notes.kinds.count("received"))
+        self.assertEqual(1, self.journal.kinds.count("received"))
 
-    def test_crossed_resume_is_refused(self):
+    def test_resume_with_other_request_is_refused(self):
         """The rest that is offered belongs to another request.
 
         The caller gets what came before the cut and then a refusal that
@@ -145,17 +145,17 @@
 
         def handle(sock, _):
             if sock.recv(65536).startswith(b"POST"):
-                marks = b"X-Resumable: true\r\n"
-                sock.sendall(CHUNKED.replace(HEAD, HEAD + marks))
+                headers = b"X-Resumable: true\r\n"
+                sock.sendall(CHUNKED.replace(HEAD, HEAD + headers))
                 sock.sendall(b"6\r\ndata: \r\n")
             else:
-                marks = b"X-Request-Id: request-2\r\nX-Offset: 6\r\n"
-                sock.sendall(CHUNKED.replace(HEAD, HEAD + marks) + END)
+                headers = b"X-Request-Id: request-2\r\nX-Offset: 6\r\n"
+                sock.sendall(CHUNKED.replace(HEAD, HEAD + headers) + END)
 
         answer = self.call(self.serve(handle))
         lost = client.Failure(sent=True, code=errors.Code.ENDPOINT_LOST)
         self.assertEqual(result.Err(lost), answer)
-        self.assertEqual(b"data: ", self.join())
+        self.assertEqual(b"data: ", self.join_answer())
 
     def test_call_is_never_sent_again(self):
         """A kept connection ends as soon as the second call is sent.
@@ -177,7 +177,7 @@
         self.assertTrue(second.unwrap_err().sent)
         self.assertEqual(2, len(arrived))
 
-    def test_call_past_its_check_is_not_sent(self):
+    def test_call_is_not_sent_when_check_fails(self):
         """Not one byte leaves when the check says no after connecting."""
         arrived = []
         address = self.serve(lambda sock, _: arrived.append(sock.recv(9)))
@@ -209,7 +209,7 @@
             errors.Code.DEADLINE_PASSED_RUNNING, answer.unwrap_err().code
         )
         with gevent.Timeout(5):
-            while "stopped" not in self.notes.kinds:
+            while "stopped" not in self.journal.kinds:
                 gevent.sleep(0.01)
 
     def test_kept_connection_belongs_to_one_start(self):
@@ -247,7 +247,7 @@
             {"X-Request-Id": "a\r\nContent-Length: 0\r\n\r\nGET /"},
         )
 
-    def test_long_stream_is_gathered_and_short_one_is_not(self):
+    def test_only_long_streams_are_coalesced(self):
         """Pieces of a long stream hold several tokens, the first just one.
 
         The engine makes 200 tokens, one every 2 ms. The caller sees the
--- a/tests/endpoints/test_monitors.py
+++ b/tests/endpoints/test_monitors.py
@@ -56,7 +56,7 @@
         report = self.events.get(timeout=5).report
         self.assertEqual((3, True), (report.running, report.cold))
 
-    def test_end_is_seen_before_the_watch_has_its_turn(self):
+    def test_closed_socket_is_seen_before_monitor_runs(self):
         """The endpoint's process ends and another one takes its address.
 
         A dispatch that was decided for the warm process stands between
@@ -80,7 +80,7 @@
         self.wait_for(models.EndpointLost)
         self.wait_for(models.EndpointConnected)
 
-    def test_cache_events_tell_their_gaps(self):
+    def test_gap_in_cache_events_is_reported(self):
         """Number 2 never comes: the event after it says so."""
         events = [{"number": 1, "stored": [7], "evicted": []}]
         self.report["cache"] = {"events": events}
@@ -92,7 +92,7 @@
             later = self.wait_for(models.CacheReported)
         self.assertTrue(later.gap)
 
-    def test_endpoint_no_longer_owned_is_left_alone(self):
+    def test_released_endpoint_is_disconnected(self):
         """Its connection ends, and no start counts as current."""
         start = self.wait_for(models.EndpointConnected).start
         self.monitors.assign({})
--- a/tests/instances/test_membership.py
+++ b/tests/instances/test_membership.py
@@ -14,7 +14,7 @@
 class NeighboursTest(testtools.TestCase):
     """Few links, and a change reaches all."""
 
-    def test_small_fleet_knows_all(self):
+    def test_small_fleet_is_full_mesh(self):
         """Each hears each at first hand."""
         names = make_names(7)
         chosen = membership.choose_neighbours("entry-3", names)
@@ -26,10 +26,10 @@
         chosen = {n: membership.choose_neighbours(n, names) for n in names}
         self.assertEqual({9}, {len(found) for found in chosen.values()})
         reached = {"entry-0"}
-        edge = {"entry-0"}
+        frontier = {"entry-0"}
         for _ in range(9):
-            edge = {n for name in edge for n in chosen[name]} - reached
-            reached |= edge
+            frontier = {n for name in frontier for n in chosen[name]} - reached
+            reached |= frontier
         self.assertEqual(names, reached)
 
     def test_one_more_instance_moves_few_links(self):
@@ -49,7 +49,7 @@
         self.assertLess(moved, every * 0.6)
 
 
-class SilenceTest(testtools.TestCase):
+class FailureDetectorTest(testtools.TestCase):
     """Signs of life at first and at second hand."""
 
     def setUp(self):
@@ -67,7 +67,7 @@
         self.detector.record_contact("near", late)
         self.assertEqual({}, self.detector.find_silent(late))
 
-    def test_told_silence_ages_and_is_forgotten(self):
+    def test_relayed_silence_ages_and_expires(self):
         """Those who are not its neighbours notice a return.
 
         A far instance dies and is replaced. Nobody says so any more; what
@@ -81,24 +81,26 @@
         self.assertNotIn("far", self.detector.find_silent(gone))
         self.assertNotIn("far", other.find_silent(gone))
 
-    def test_pace_of_a_large_fleet_is_no_silence(self):
+    def test_report_interval_of_large_fleet_is_no_silence(self):
         """A report each 2 s must not look like a death in between.
 
         Seen as neighbours that are out of reach before each report, and
         are told to be so to all others.
         """
-        pause = const.RING_REPORT_INTERVAL_SECONDS
+        interval = const.RING_REPORT_INTERVAL_SECONDS
         self.detector.record_contact("near", 0.0)
-        self.assertEqual({}, self.detector.find_silent(2.2, pause))
-        late = 2.6 * pause
-        self.assertEqual({"near": 0.0}, self.detector.find_silent(late, pause))
+        self.assertEqual({}, self.detector.find_silent(2.2, interval))
+        late = 2.6 * interval
+        self.assertEqual(
+            {"near": 0.0}, self.detector.find_silent(late, interval)
+        )
 
-    def test_stranger_that_spoke_once_is_not_waited_for(self):
+    def test_contact_from_non_neighbour_is_not_monitored(self):
         """Only a neighbour owes signs of life."""
         self.detector.record_contact("stranger", 0.0)
         self.assertNotIn("stranger", self.detector.find_silent(60.0))
 
-    def test_own_ears_go_before_what_is_told(self):
+    def test_direct_contact_overrides_relayed_silence(self):
         """A neighbour that answers is not out of reach, whoever says so."""
         self.detector.record_relayed_silence({"near": 0.0}, 1.0)
         self.assertEqual({}, self.detector.find_silent(1.0))
--- a/tests/instances/test_messages.py
+++ b/tests/instances/test_messages.py
@@ -16,7 +16,7 @@
         unpacker.feed(data)
         return [messages.decode(raw) for raw in unpacker]
 
-    def test_each_comes_back_as_it_was(self):
+    def test_messages_round_trip(self):
         """Two messages in one piece of the stream."""
         sent = [
             messages.Piece(stream=7, offset=3, data=b"\x00abc"),
@@ -48,7 +48,7 @@
             max_leaves=12,
         )
     )
-    def test_whatever_comes_is_a_message_or_refused(self, raw):
+    def test_any_input_is_decoded_or_refused(self, raw):
         """No input makes the reader fail in another way."""
         try:
             message = messages.decode(raw)
--- a/tests/instances/test_peers.py
+++ b/tests/instances/test_peers.py
@@ -28,11 +28,11 @@
         super().setUp()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.listener.close)
-        me = messages.Hello(
+        hello = messages.Hello(
             protocol=const.PROTOCOL, instance="own", incarnation="1"
         )
         self.peers = peers.Peers(
-            me,
+            hello,
             clock.ManualClock(),
             lambda work, role: None,
             lambda name, message: None,
@@ -52,12 +52,12 @@
         self.listener.close()
         return task.get(timeout=2)
 
-    def test_home_that_never_greeted_is_unreachable(self):
+    def test_home_without_hello_is_unreachable(self):
         """The caller hears the same as from a home that is gone."""
         refusal = self.forward(const.ROLE_HOME)
         self.assertEqual(errors.Code.HOME_UNREACHABLE, refusal.code)
 
-    def test_what_was_sent_elsewhere_may_have_run(self):
+    def test_request_sent_to_owner_may_have_run(self):
         """Another role's request was written: it is never "not run"."""
         refusal = self.forward(const.ROLE_OWNER)
         self.assertEqual(errors.Code.INSTANCE_LOST, refusal.code)
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -19,7 +19,7 @@
 class Body:
     """A request's body, read whole."""
 
-    def read_whole(self):
+    def read_all(self):
         """Return nothing."""
         return result.Ok(b"")
 
