--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -23,11 +23,11 @@
 from citronport.scheduler.direct import quota
 from citronport.scheduler.direct import routing
 
-LOOKUP_SECONDS = 2.0
+LOOKUP_TTL_SECONDS = 2.0
 """How long a caller may keep the answer of a lookup. Some keep it three
 times as long, and an instance that stops serves its callers meanwhile."""
 
-NOTHING_KNOWN_SECONDS = 0.5
+NO_CONFIGURATION_RETRY_SECONDS = 0.5
 """When to come back to an instance that knows no configuration yet."""
 
 START_WAIT_SECONDS = 1.0
@@ -40,10 +40,10 @@
 """The same as a share of the caller's own patience, so that it can still
 come back and be served."""
 
-START_LOOK_SECONDS = 0.02
+START_POLL_SECONDS = 0.02
 """Pause between two looks at whether the start is over."""
 
-LEAVING_SECONDS = 0.1
+LEAVING_RETRY_SECONDS = 0.1
 """When to come back to another instance than one that leaves."""
 
 PATH_METRICS = "/metrics"
@@ -55,37 +55,37 @@
     """The WSGI application for callers' requests.
 
     Args:
-        parts: shared by all requests.
+        context: shared by all requests.
         quotas: limits of workspaces.
         compute_reach: returns the share of the instances in reach.
         get_lag: returns the time until others hear of this one, seconds.
         is_leaving: whether new connections should end with their answer.
         is_closing: whether no new request is taken any more.
         get_store_age: returns the age of the store's newest answer.
-        is_meeting: whether the other instances are not known yet.
+        is_discovering_peers: whether the other instances are not known yet.
         ticker: the clock.
     """
 
     def __init__(
         self,
-        parts: jobs.Parts,
+        context: jobs.RelayContext,
         quotas: quota.Quotas,
         compute_reach: collections.abc.Callable[[], float],
         get_lag: collections.abc.Callable[[], float],
         is_leaving: collections.abc.Callable[[], bool],
         is_closing: collections.abc.Callable[[], bool],
         get_store_age: collections.abc.Callable[[], float],
-        is_meeting: collections.abc.Callable[[], bool],
+        is_discovering_peers: collections.abc.Callable[[], bool],
         ticker: clock.Clock,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._quotas = quotas
         self._compute_reach = compute_reach
         self._get_lag = get_lag
         self._is_leaving = is_leaving
         self._is_closing = is_closing
         self._get_store_age = get_store_age
-        self._is_meeting = is_meeting
+        self._is_discovering_peers = is_discovering_peers
         self._ticker = ticker
         self.running = 0
 
@@ -95,7 +95,7 @@
         """Answer one request."""
         arrived = self._ticker.now()
         if self._is_leaving():
-            start_response = _close_after(start_response)
+            start_response = _add_connection_close(start_response)
         match environ["wsgi.input"].read_whole():
             case result.Err(refusal):
                 return self._refuse(
@@ -113,12 +113,12 @@
         self, job: jobs.Job, start_response: replies.StartResponse
     ) -> collections.abc.Iterator[bytes]:
         self.running += 1
-        carried = sender.Sender(self._parts, job)
+        request_sender = sender.Sender(self._context, job)
         try:
-            yield from carried.answer(start_response)
+            yield from request_sender.answer(start_response)
         finally:
             self.running -= 1
-            if job.workspace and carried.progress.is_known_not_run:
+            if job.workspace and request_sender.progress.is_known_not_run:
                 self._quotas.give_back(job.workspace, job.units)
 
     def _check(
@@ -132,11 +132,13 @@
                 pass
         configuration = self._await_start(head, arrived)
         if configuration is None:
-            return _err(errors.Code.NO_CATALOGUE, NOTHING_KNOWN_SECONDS)
+            return _err(
+                errors.Code.NO_CATALOGUE, NO_CONFIGURATION_RETRY_SECONDS
+            )
         if self._is_closing():
-            return _err(errors.Code.LEAVING, LEAVING_SECONDS)
+            return _err(errors.Code.LEAVING, LEAVING_RETRY_SECONDS)
         path = environ["PATH_INFO"]
-        route = self._parts.world.routes.find(fields["host"], path)
+        route = self._context.cluster_state.routes.find(fields["host"], path)
         if route is None:
             return _err(errors.Code.UNKNOWN_PATH)
         workspace = None
@@ -159,7 +161,7 @@
                 service=routing.choose_service(route, random.random()),
                 method=method,
                 target=target,
-                fields=fields,
+                headers=fields,
                 body=body,
                 fingerprint=fingerprints.make_fingerprint(
                     workspace.name if workspace else "",
@@ -189,11 +191,14 @@
         if head.patience is not None:
             patience = min(patience, START_WAIT_SHARE * head.patience)
         until = arrived + patience
-        while self._parts.world.configuration is None or self._is_meeting():
+        while (
+            self._context.cluster_state.configuration is None
+            or self._is_discovering_peers()
+        ):
             if self._is_closing() or self._ticker.now() >= until:
                 break
-            self._ticker.sleep(START_LOOK_SECONDS)
-        return self._parts.world.configuration
+            self._ticker.sleep(START_POLL_SECONDS)
+        return self._context.cluster_state.configuration
 
     def _charge(
         self,
@@ -206,7 +211,7 @@
             units,
             self._compute_reach(),
             now,
-            self._parts.count_instances(),
+            self._context.count_instances(),
             self._get_lag(),
         )
         if wait is None:
@@ -221,14 +226,14 @@
         *,
         close: bool = False,
     ) -> list[bytes]:
-        self._parts.counts.refusals[refusal.code.name.lower()] += 1
-        configuration = self._parts.world.configuration
+        self._context.counts.refusals[refusal.code.name.lower()] += 1
+        configuration = self._context.cluster_state.configuration
         wait = refusal.retry_after
         fields = environ[caller_const.ENVIRON_FIELDS]
-        route = self._parts.world.routes.find(
+        route = self._context.cluster_state.routes.find(
             fields.get("host", ""), environ["PATH_INFO"]
         )
-        self._parts.log.write(
+        self._context.log.write(
             events.RequestRefused(
                 request=fields.get(wire.REQUEST_ID, ""),
                 route=route.name if route else "",
@@ -266,10 +271,10 @@
         if not addresses:
             refusal = errors.Refusal(
                 code=errors.Code.NO_CATALOGUE,
-                retry_after=NOTHING_KNOWN_SECONDS,
+                retry_after=NO_CONFIGURATION_RETRY_SECONDS,
             )
             return refusals.answer(start_response, refusal)
-        body = wire_models.dump_lookup(addresses, LOOKUP_SECONDS)
+        body = wire_models.dump_lookup(addresses, LOOKUP_TTL_SECONDS)
         return replies.answer_json(start_response, body)
 
 
@@ -358,7 +363,7 @@
     return float(head.prompt_tokens + head.output_tokens)
 
 
-def _close_after(
+def _add_connection_close(
     start_response: replies.StartResponse,
 ) -> replies.StartResponse:
     def start(status: str, headers: list, *rest: Any) -> Any:
--- a/citronport/relay/world.py
+++ b/citronport/relay/cluster_state.py
@@ -17,21 +17,21 @@
 
 LOG = "world:"
 
-LAPSE_SECONDS = 1.5
+LAPSE_GRACE_SECONDS = 1.5
 """How long an endpoint is used on whose entry vanished around an outage of
 the store. Entries lapse then although their endpoints live, and come back
 within two seconds; without the pause a return of the store would empty the
 list for that time and refuse every caller."""
 
-RETURN_SECONDS = 3.0
+OUTAGE_RECOVERY_SECONDS = 3.0
 """How long after an outage a vanished entry counts as lapsed."""
 
-MAX_STARTS = 2000
+MAX_REMEMBERED_STARTS = 2000
 """Starts of endpoints that are remembered, so that one whose entry comes
 back does not count as started anew."""
 
 
-class World:
+class ClusterState:
     """The typed view of what the store holds.
 
     Attributes:
@@ -64,31 +64,31 @@
         self._starts: collections.OrderedDict[tuple[str, int], None] = (
             collections.OrderedDict()
         )
-        self._listed_once = False
+        self._is_loaded = False
 
     def apply(
         self,
-        news: collections.abc.Iterable[wire.Item],
+        changes: collections.abc.Iterable[wire.Item],
         now: float,
         returned: float,
     ) -> None:
         """Take changes of the store.
 
         Args:
-            news: the changed items.
+            changes: the changed items.
             now: clock time, seconds.
             returned: clock time at which the store was last back after an
                 outage; minus infinity if it never was away.
         """
-        lapsing = now - returned < RETURN_SECONDS
-        for item in news:
+        lapsing = now - returned < OUTAGE_RECOVERY_SECONDS
+        for item in changes:
             if item.key == const.KEY_CONFIGURATION:
-                self._take_configuration(item)
+                self._apply_configuration(item)
             elif item.key.startswith(const.PREFIX_EVACUATED):
-                self._take_evacuation(item, now)
+                self._apply_evacuation(item, now)
             elif item.key.startswith(const.PREFIX_ENDPOINTS):
-                self._take_endpoint(item, now, lapsing)
-        self._listed_once = True
+                self._apply_endpoint(item, now, lapsing)
+        self._is_loaded = True
         self._index()
 
     def sweep(self, now: float) -> None:
@@ -117,7 +117,7 @@
             and known.data_centre not in self.evacuated
         )
 
-    def _take_configuration(self, item: wire.Item) -> None:
+    def _apply_configuration(self, item: wire.Item) -> None:
         if item.value is None:
             # Operators replace it and never take it away.
             logging.warning("%s the configuration was deleted.", LOG)
@@ -153,7 +153,7 @@
             )
         )
 
-    def _take_evacuation(self, item: wire.Item, now: float) -> None:
+    def _apply_evacuation(self, item: wire.Item, now: float) -> None:
         name = wire.parse_evacuated(item.key)
         if item.value is not None:
             self.evacuated.add(name)
@@ -171,13 +171,13 @@
             )
         )
 
-    def _take_endpoint(
+    def _apply_endpoint(
         self, item: wire.Item, now: float, lapsing: bool
     ) -> None:
         name = item.key.removeprefix(const.PREFIX_ENDPOINTS)
         if item.value is None:
             if lapsing and name in self.endpoints:
-                self._lapsing[name] = now + LAPSE_SECONDS
+                self._lapsing[name] = now + LAPSE_GRACE_SECONDS
             else:
                 self._drop(name)
             self._log.write(
@@ -211,9 +211,9 @@
         self.endpoints[endpoint.name] = endpoint
         if endpoint.start not in self._starts:
             self._starts[endpoint.start] = None
-            if len(self._starts) > MAX_STARTS:
+            if len(self._starts) > MAX_REMEMBERED_STARTS:
                 self._starts.popitem(last=False)
-            if self._listed_once:
+            if self._is_loaded:
                 self._set_cold(endpoint, now)
         if endpoint.cold_seconds > 0:
             self._cold.set_cold(endpoint.name, now + endpoint.cold_seconds)
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -18,6 +18,7 @@
 from citronport.platform import const as store_const
 from citronport.platform import models as wire_models
 from citronport.relay import application
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import events
@@ -34,7 +35,6 @@
 from citronport.relay import reports
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import cold as cold_module
 from citronport.scheduler.direct import endpoint_limits
@@ -46,21 +46,21 @@
 
 LOG = "relay:"
 
-SERVE_ON_SECONDS = 2.5
+DRAIN_ACCEPT_SECONDS = 2.5
 """How long an instance that leaves takes new work: callers keep the answer
 of a lookup for two seconds, and new answers name others at once."""
 
-MEET_SECONDS = 0.6
+PEER_DISCOVERY_SECONDS = 0.6
 """How long an instance that has just started waits at most until it knows
 the others; it may be the only one."""
 
-END_SECONDS = 0.7
+EXIT_MARGIN_SECONDS = 0.7
 """Time before the kill at which the process ends at the latest."""
 
-SWEEP_SECONDS = 0.25
+SWEEP_INTERVAL_SECONDS = 0.25
 """Pause between two looks at what has run out."""
 
-SETTINGS_SECONDS = 2.0
+SETTINGS_POLL_SECONDS = 2.0
 """Pause between two looks at whether the settings file has changed."""
 
 
@@ -104,7 +104,7 @@
             settings.instance, settings.data_centre
         )
         self.mirror = mirror_module.Mirror()
-        self.world = world_module.World(
+        self.cluster_state = cluster_state_module.ClusterState(
             self.cold, self._forget_endpoint, self._log
         )
         self.follower = follower_module.Follower(
@@ -113,14 +113,14 @@
             ),
             self.mirror,
             ticker,
-            self._take_store_news,
+            self._handle_store_changes,
             self._log,
-            self._rest,
+            self._find_store_age,
             self._is_reader,
         )
         self.dispatcher = dispatcher_module.Dispatcher(
             settings.instance,
-            self.world,
+            self.cluster_state,
             self.members,
             self.board,
             self.health,
@@ -158,8 +158,8 @@
             self.members,
             ticker,
             self.reports.make,
-            self._take_report,
-            self._take_leasing,
+            self._handle_report,
+            self._handle_leasing,
             self.summaries,
             self._log,
         )
@@ -168,7 +168,7 @@
             self.members,
             self.mirror,
             ticker,
-            self._take_news,
+            self._apply_changes,
             self.follower,
             self._log,
         )
@@ -176,7 +176,7 @@
             settings.instance,
             settings.capacity,
             self.members,
-            self.world,
+            self.cluster_state,
             self.dispatcher,
             self.board,
             self.health,
@@ -187,8 +187,8 @@
         )
         self._budgets: dict[str, retries.RetryBudget] = {}
         self.application = application.Application(
-            jobs.Parts(
-                self.world,
+            jobs.RelayContext(
+                self.cluster_state,
                 self.dispatcher,
                 self.board,
                 self.health,
@@ -206,13 +206,13 @@
             lambda: self._leaving,
             lambda: self._closing,
             lambda: ticker.now() - self.follower.answered,
-            self._is_meeting,
+            self._is_discovering_peers,
             ticker,
         )
         self._callers = listeners.make_caller_server(
             settings, self.application
         )
-        self._tasks = tasks.Supervisor(ticker, self._note_death)
+        self._tasks = tasks.Supervisor(ticker, self._log_task_death)
 
     def serve(self) -> None:
         """Run until a stop is ordered and the work in progress is done."""
@@ -265,9 +265,9 @@
     def is_ready(self) -> bool:
         """Return whether callers should come here."""
         ready = (
-            self.world.configuration is not None
+            self.cluster_state.configuration is not None
             and not self._leaving
-            and not self._is_meeting()
+            and not self._is_discovering_peers()
         )
         if ready != self._ready:
             self._ready = ready
@@ -301,7 +301,7 @@
             )
         )
 
-    def _is_meeting(self) -> bool:
+    def _is_discovering_peers(self) -> bool:
         """Return whether requests should wait until the others are known.
 
         Load: all instances start again at once, and the callers of two
@@ -310,7 +310,7 @@
         many times over, which turns away what could have waited a moment.
         """
         now = self._ticker.now()
-        if now - self._started >= MEET_SECONDS:
+        if now - self._started >= PEER_DISCOVERY_SECONDS:
             return False
         return self.members.is_growing(now)
 
@@ -332,48 +332,48 @@
         keep("reporter", self.fleet.report_again_and_again)
         keep("envoy", self.fleet.summarize_again_and_again)
         keep("catch-up", self.news.catch_up)
-        keep("dispatcher", self.dispatcher.kick_again_and_again)
-        keep("renewer", self.leasing.renew_again_and_again)
-        keep("sweeper", self._sweep_again_and_again)
+        keep("dispatcher", self.dispatcher.run_match_loop)
+        keep("renewer", self.leasing.run_renewal_loop)
+        keep("sweeper", self._run_sweeper)
         keep("settings", self._watch_settings)
 
     def _drain(self) -> None:
-        end = self._settings.bounds.grace_seconds - END_SECONDS
+        end = self._settings.bounds.grace_seconds - EXIT_MARGIN_SECONDS
         started = self._ticker.now()
-        self._ticker.sleep(min(SERVE_ON_SECONDS, end))
+        self._ticker.sleep(min(DRAIN_ACCEPT_SECONDS, end))
         self._closing = True
         self._callers.close()
         while self._ticker.now() - started < end:
             if not self.application.running and self._callers.is_idle():
                 break
-            self._ticker.sleep(SWEEP_SECONDS)
+            self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
         self.news.close()
 
-    def _sweep_again_and_again(self) -> None:
+    def _run_sweeper(self) -> None:
         while True:
-            self._ticker.sleep(SWEEP_SECONDS)
-            self.world.sweep(self._ticker.now())
-            self.leasing.lessor.sweep()
+            self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
+            self.cluster_state.sweep(self._ticker.now())
+            self.leasing.lease_server.sweep()
             self.suspects.sweep(self._ticker.now())
             self.is_ready()
 
     def _watch_settings(self) -> None:
-        seen = _get_changed(self._path)
+        seen = _get_file_version(self._path)
         while True:
-            self._ticker.sleep(SETTINGS_SECONDS)
-            changed = _get_changed(self._path)
+            self._ticker.sleep(SETTINGS_POLL_SECONDS)
+            changed = _get_file_version(self._path)
             if changed != seen:
                 seen = changed
                 self.reload()
 
-    def _take_report(self, report: messages.Report) -> None:
+    def _handle_report(self, report: messages.Report) -> None:
         self.reports.take(report)
-        self.dispatcher.kick()
+        self.dispatcher.schedule_match()
 
-    def _take_leasing(self, message: messages.Leasing) -> None:
-        self.leasing.take(message)
+    def _handle_leasing(self, message: messages.Leasing) -> None:
+        self.leasing.handle(message)
 
-    def _rest(self) -> float | None:
+    def _find_store_age(self) -> float | None:
         now = self._ticker.now()
         return follower_module.rest(
             self._settings.instance,
@@ -386,25 +386,25 @@
         readers = follower_module.choose_readers(instances)
         return self._settings.instance in readers
 
-    def _take_store_news(self, news: list[wire_models.Item]) -> None:
-        self._take_news(news, self.follower.returned)
+    def _handle_store_changes(self, changes: list[wire_models.Item]) -> None:
+        self._apply_changes(changes, self.follower.returned)
         self.fleet.tell_news()
 
-    def _take_news(
-        self, news: list[wire_models.Item], returned: float
+    def _apply_changes(
+        self, changes: list[wire_models.Item], returned: float
     ) -> None:
         now = self._ticker.now()
         self.follower.returned = max(self.follower.returned, returned)
-        self.world.apply(news, now, self.follower.returned)
+        self.cluster_state.apply(changes, now, self.follower.returned)
         self._callers.connections.limits = listeners.make_limits(
-            self._settings, self.world.configuration
+            self._settings, self.cluster_state.configuration
         )
         self.is_ready()
-        self.dispatcher.kick()
+        self.dispatcher.schedule_match()
 
     def _read_state(self) -> metrics.State:
         now = self._ticker.now()
-        configuration = self.world.configuration
+        configuration = self.cluster_state.configuration
         fresh = self.members.list_fresh(now)
         return metrics.State(
             up_seconds=now - self._started,
@@ -424,9 +424,10 @@
             news_failed=self.news.failed,
             news_received=self.news.received,
             news_behind_seconds=self.news.get_behind_seconds(),
-            endpoints=len(self.world.endpoints),
+            endpoints=len(self.cluster_state.endpoints),
             cold=sum(
-                self.cold.is_cold(name, now) for name in self.world.endpoints
+                self.cold.is_cold(name, now)
+                for name in self.cluster_state.endpoints
             ),
             limited=self.limits.count(),
             leases=len(self.leasing.leases),
@@ -452,11 +453,11 @@
             )
         return budget
 
-    def _note_death(self, name: str) -> None:
+    def _log_task_death(self, name: str) -> None:
         logging.error("%s task %s died.", LOG, name)
 
 
-def _get_changed(path: pathlib.Path) -> tuple[int, int]:
+def _get_file_version(path: pathlib.Path) -> tuple[int, int]:
     try:
         status = path.stat()
     except OSError as error:
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -8,11 +8,11 @@
 
 from citronport import clock
 from citronport import errors
-from citronport.relay import lessee as lessee_module
+from citronport.relay import cluster_state as cluster_state_module
+from citronport.relay import lease_client as lease_client_module
 from citronport.relay import membership as membership_module
 from citronport.relay import messages
 from citronport.relay import owners as owners_module
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import cold as cold_module
 from citronport.scheduler.direct import endpoint_limits
@@ -24,22 +24,22 @@
 from citronport.scheduler.direct import shares
 from citronport.scheduler.direct import waiting
 
-KICK_SECONDS = 0.025
+MATCH_INTERVAL_SECONDS = 0.025
 """Pause between two looks at waiting requests when nothing else happens: a
 pause for a suspect or cold endpoint ends without an event."""
 
-SHARE_SECONDS = 0.05
+SHARE_CACHE_SECONDS = 0.05
 """Age up to which the list of the instances is used again: reports that
 change it come every 0.1 s or later, and a choice takes less time than the
 list of ninety."""
 
-RETRY_SHARE = 0.3
+MAX_RETRY_SHARE = 0.3
 """Longest time to come back, as a share of what the caller has left; it
 waits for a third of that at most."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Booking:
+class Reservation:
     """A place that one request has taken.
 
     Attributes:
@@ -67,7 +67,7 @@
 
     Args:
         own: name of this instance.
-        world: what is in force.
+        cluster_state: what is in force.
         members: the other instances.
         board: loads and paces.
         health: which endpoints answer.
@@ -77,13 +77,13 @@
 
     Attributes:
         owners: who hands out places; None where nobody does.
-        lessee: asks the owners for places.
+        lease_client: asks the owners for places.
     """
 
     def __init__(
         self,
         own: str,
-        world: world_module.World,
+        cluster_state: cluster_state_module.ClusterState,
         members: membership_module.Membership,
         board: board_module.Board,
         health: health_module.Health,
@@ -92,7 +92,7 @@
         ticker: clock.Clock,
     ) -> None:
         self._own = own
-        self._world = world
+        self._cluster_state = cluster_state
         self._members = members
         self._board = board
         self._health = health
@@ -101,19 +101,19 @@
         self._ticker = ticker
         self._selector = selection.Selector(board, health, cold, limits)
         self._queues: dict[str, waiting.Queue] = {}
-        self._kicked = False
+        self._match_scheduled = False
         self._share: shares.Share = shares.Sender(own, (own,))
         self._share_until = float("-inf")
-        self._instances = 1
+        self._instance_count = 1
         self._is_majority = False
         self.owners: owners_module.Owners | None = None
-        self.lessee: lessee_module.Lessee | None = None
+        self.lease_client: lease_client_module.LeaseClient | None = None
 
     def acquire(
         self, work: models.Work, service: str, tried: frozenset[str]
-    ) -> Booking | errors.Refusal:
+    ) -> Reservation | errors.Refusal:
         """Return a place for a request; wait for one if need be."""
-        found = self._lease(work, service, tried)
+        found = self._acquire_lease(work, service, tried)
         if found is not None:
             return found
         now = self._ticker.now()
@@ -121,7 +121,7 @@
         waiter = waiting.Waiter(
             work=work, since=now, tried=tried, handle=woken
         )
-        pause = self.enter(waiter, service)
+        pause = self.enqueue(waiter, service)
         if pause is not None:
             return self._refuse(work, service, pause)
         try:
@@ -129,10 +129,10 @@
             # the whole request, which has to end the request.
             woken.wait(timeout=waiting.compute_patience(work, now))
         finally:
-            self.withdraw(waiter, service)
+            self.cancel(waiter, service)
         return woken.value or self._refuse(work, service)
 
-    def enter(self, waiter: waiting.Waiter, service: str) -> float | None:
+    def enqueue(self, waiter: waiting.Waiter, service: str) -> float | None:
         """Give a request a place at once, or let it wait for one.
 
         Returns:
@@ -141,51 +141,57 @@
         """
         queue = self._queues.get(service)
         if queue is None:
-            queue = waiting.Queue(lambda w: self._expect(w, service))
+            queue = waiting.Queue(
+                lambda w: self._estimate_first_event(w, service)
+            )
             self._queues[service] = queue
         queue.add(waiter)
-        self._match(service, queue)
+        self._match_queue(service, queue)
         if not queue.holds(waiter):
             return None
-        wait = self._forecast(waiter, service, queue)
+        wait = self._forecast_wait(waiter, service, queue)
         if wait <= waiting.compute_patience(waiter.work, waiter.since):
             return None
         queue.remove(waiter)
         return wait
 
-    def _forecast(
+    def _forecast_wait(
         self, waiter: waiting.Waiter, service: str, queue: waiting.Queue
     ) -> float:
         now = self._ticker.now()
-        configuration = self._world.configuration
+        configuration = self._cluster_state.configuration
         known = configuration and configuration.services.get(service)
-        endpoints = self._world.list_endpoints(service)
+        endpoints = self._cluster_state.list_endpoints(service)
         if not known or not endpoints:
             # Nothing is known that a forecast could go by.
             return 0.0
         places = self._selector.compute_places(known, endpoints)
         return queue.forecast(waiter, places, now)
 
-    def withdraw(self, waiter: waiting.Waiter, service: str) -> None:
+    def cancel(self, waiter: waiting.Waiter, service: str) -> None:
         """Take a request out that waits no longer."""
         self._queues[service].remove(waiter)
 
-    def note_begun(self, booking: Booking) -> None:
+    def record_first_event(self, reservation: Reservation) -> None:
         """Note the first event of a request."""
-        if booking.leased and self.lessee is not None:
-            self.lessee.begin(booking.run.request_id, booking.endpoint.name)
+        if reservation.leased and self.lease_client is not None:
+            self.lease_client.report_first_event(
+                reservation.run.request_id, reservation.endpoint.name
+            )
 
-    def release(self, booking: Booking, request_id: str) -> None:
+    def release(self, reservation: Reservation, request_id: str) -> None:
         """Give a place back."""
-        if booking.leased and self.lessee is not None:
-            self.lessee.end(booking.endpoint.name, booking.run)
+        if reservation.leased and self.lease_client is not None:
+            self.lease_client.release(
+                reservation.endpoint.name, reservation.run
+            )
             return
         self._board.note_end(
-            booking.endpoint.name, request_id, self._ticker.now()
+            reservation.endpoint.name, request_id, self._ticker.now()
         )
-        self.kick()
+        self.schedule_match()
 
-    def kick(self) -> None:
+    def schedule_match(self) -> None:
         """Look soon whether requests that wait have a place now.
 
         Load: an owner that hears of a thousand ends and questions a second
@@ -193,54 +199,56 @@
         each takes longer than the time between two, and the owner falls
         silent. All news that have come are taken before one look.
         """
-        if not self._kicked and any(map(len, self._queues.values())):
-            self._kicked = True
-            gevent.spawn(self._look)
+        if not self._match_scheduled and any(map(len, self._queues.values())):
+            self._match_scheduled = True
+            gevent.spawn(self._match_queues)
 
-    def _look(self) -> None:
-        self._kicked = False
+    def _match_queues(self) -> None:
+        self._match_scheduled = False
         for service, queue in self._queues.items():
             if len(queue):
-                self._match(service, queue)
+                self._match_queue(service, queue)
 
-    def kick_again_and_again(self) -> None:
+    def run_match_loop(self) -> None:
         """Look at the waiting requests for ever."""
         while True:
-            self._ticker.sleep(KICK_SECONDS)
-            self._look()
+            self._ticker.sleep(MATCH_INTERVAL_SECONDS)
+            self._match_queues()
 
     def count_waiting(self) -> int:
         """Return how many requests wait."""
         here = sum(len(queue) for queue in self._queues.values())
-        return here + (self.lessee.count_waiting() if self.lessee else 0)
+        return here + (
+            self.lease_client.count_waiting() if self.lease_client else 0
+        )
 
-    def _lease(
+    def _acquire_lease(
         self, work: models.Work, service: str, tried: frozenset[str]
-    ) -> Booking | errors.Refusal | None:
-        if self.lessee is None:
+    ) -> Reservation | errors.Refusal | None:
+        if self.lease_client is None:
             return None
-        match self.lessee.ask(work, service, tried):
+        match self.lease_client.acquire(work, service, tried):
             case messages.Granted() as granted:
-                return self._take(granted, work, self.lessee)
-            case lessee_module.InVain(pause=pause):
+                return self._accept_lease(granted, work, self.lease_client)
+            case lease_client_module.NoCapacity(retry_seconds=pause):
                 return self._refuse(work, service, pause)
             case None:
                 return None
 
-    def _take(
+    def _accept_lease(
         self,
         granted: messages.Granted,
         work: models.Work,
-        lessee: lessee_module.Lessee,
-    ) -> Booking | None:
+        lease_client: lease_client_module.LeaseClient,
+    ) -> Reservation | None:
         name = granted.endpoint
         now = self._ticker.now()
         run = self._board.note_leased(name, work, now)
-        endpoint = self._world.endpoints.get(name)
+        endpoint = self._cluster_state.endpoints.get(name)
         if endpoint is None:
             # The owner is ahead with the store's news, or behind: this
             # instance knows no address for the name.
-            lessee.end(name, run)
+            lease_client.release(name, run)
             return None
         self._cold.note_send(name, now)
         self._limits.note_send(name)
@@ -248,7 +256,7 @@
         place = selection.Place(
             endpoint=endpoint, seconds=granted.seconds, cost=granted.seconds
         )
-        return Booking(
+        return Reservation(
             place=place,
             run=run,
             load=granted.load,
@@ -256,51 +264,60 @@
             leased=True,
         )
 
-    def _match(self, service: str, queue: waiting.Queue) -> None:
+    def _match_queue(self, service: str, queue: waiting.Queue) -> None:
         now = self._ticker.now()
-        configuration = self._world.configuration
+        configuration = self._cluster_state.configuration
         known = configuration and configuration.services.get(service)
         if not known:
             return
-        view = self._view(known, now)
+        view = self._make_view(known, now)
         if not view.endpoints:
             return
 
-        def choose(waiter: waiting.Waiter) -> Booking | None:
-            return self._book(waiter, known, view, now)
+        def choose(waiter: waiting.Waiter) -> Reservation | None:
+            return self._reserve(waiter, known, view, now)
 
         matched = queue.match(choose, now, lambda: not view.endpoints)
-        for waiter, booking in matched:
-            waiter.handle.set(booking)
+        for waiter, reservation in matched:
+            waiter.handle.set(reservation)
 
-    def _view(self, service: models.Service, now: float) -> "_View":
+    def _make_view(
+        self, service: models.Service, now: float
+    ) -> "_ServiceView":
         """Return what may be chosen now, for all that wait."""
-        endpoints = self._world.list_endpoints(service.name)
-        number = selection.count_candidates(len(endpoints), self._instances)
+        endpoints = self._cluster_state.list_endpoints(service.name)
+        sample_size = selection.count_candidates(
+            len(endpoints), self._instance_count
+        )
         share = self._get_share(now)
-        tenure = (
-            self.owners.get_tenure(service.name, now) if self.owners else None
+        owned_seconds = (
+            self.owners.get_owned_seconds(service.name, now)
+            if self.owners
+            else None
         )
-        if tenure is not None:
-            number = len(endpoints)
+        if owned_seconds is not None:
+            sample_size = len(endpoints)
             # One that has just become the owner does not know what the one
             # before handed out in this second, and one without a majority
             # in reach may not be the only one.
-            if tenure > cold_module.WINDOW_SECONDS and self._is_majority:
+            if (
+                owned_seconds > cold_module.WINDOW_SECONDS
+                and self._is_majority
+            ):
                 share = shares.Owner()
         usable = [
             e
             for e in endpoints
             if self._selector.has_room(e, service, share, now)
         ]
-        return _View(
+        return _ServiceView(
             endpoints=usable,
             listed=frozenset(e.name for e in endpoints),
             share=share,
-            number=number,
+            sample_size=sample_size,
         )
 
-    def _expect(self, work: models.Work, service: str) -> float:
+    def _estimate_first_event(self, work: models.Work, service: str) -> float:
         """Return the time from a send to the first event, seconds."""
         if not work.prompt_tokens:
             return 0.0
@@ -312,25 +329,25 @@
         if now >= self._share_until:
             instances = self._members.list_known(now)
             self._share = shares.Sender(self._own, instances)
-            self._share_until = now + SHARE_SECONDS
-            self._instances = len(instances)
+            self._share_until = now + SHARE_CACHE_SECONDS
+            self._instance_count = len(instances)
             self._is_majority = (
                 self._members.compute_reach(now) > quota.MAJORITY
             )
         return self._share
 
-    def _book(
+    def _reserve(
         self,
         waiter: waiting.Waiter,
         service: models.Service,
-        view: "_View",
+        view: "_ServiceView",
         now: float,
-    ) -> Booking | None:
+    ) -> Reservation | None:
         seen = [e for e in view.endpoints if e.name not in waiter.tried]
         if not seen and waiter.tried >= view.listed:
             seen = view.endpoints
-        if not waiter.leased and view.number < len(seen):
-            seen = random.sample(seen, view.number)
+        if not waiter.leased and view.sample_size < len(seen):
+            seen = random.sample(seen, view.sample_size)
         place = self._selector.choose(waiter.work, service, seen, now)
         if place is None:
             return None
@@ -346,7 +363,7 @@
             place.endpoint, service, view.share, now
         ):
             view.endpoints.remove(place.endpoint)
-        return Booking(
+        return Reservation(
             place=place,
             run=run,
             load=self._board.get_load(name).requests,
@@ -356,14 +373,14 @@
     def _refuse(
         self, work: models.Work, service: str, pause: float = 0.0
     ) -> errors.Refusal:
-        listed = self._world.list_endpoints(service)
+        listed = self._cluster_state.list_endpoints(service)
         code = errors.Code.OVERLOADED if listed else errors.Code.NO_ENDPOINT
         left = max(0.0, work.deadline - self._ticker.now())
         # Most callers come back once: no sooner than a place may be free.
         # Spread by chance: those that are refused in one burst would else
         # come back in one.
         pause = max(pause, waiting.RETRY_SECONDS)
-        longest = RETRY_SHARE * left
+        longest = MAX_RETRY_SHARE * left
         return errors.Refusal(
             code=code,
             retry_after=random.uniform(
@@ -373,17 +390,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _View:
+class _ServiceView:
     """What the requests of a service may choose from at one moment.
 
     Attributes:
         endpoints: those with room; one that fills up is taken out.
         listed: names of all, with those that have no room.
         share: what this instance may send to cold endpoints.
-        number: how many of them, drawn by chance, one choice looks at.
+        sample_size: how many of them, drawn by chance, one choice looks at.
     """
 
     endpoints: list[models.Endpoint]
     listed: frozenset[str]
     share: shares.Share
-    number: int
+    sample_size: int
--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -5,10 +5,10 @@
 
 from citronport import clock
 from citronport.platform import requests
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import metrics
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
@@ -26,7 +26,7 @@
         service: where it goes.
         method: HTTP method.
         target: path and query, as they came.
-        fields: headers by their names in lower case.
+        headers: headers by their names in lower case.
         body: the body.
         fingerprint: the same for all requests that ask for the same.
         workspace: whose it is; None where no keys are used.
@@ -38,7 +38,7 @@
     service: str
     method: str
     target: str
-    fields: requests.Fields
+    headers: requests.Fields
     body: bytes
     fingerprint: str
     workspace: models.Workspace | None
@@ -46,11 +46,11 @@
     version: int
 
 
-class Parts:
+class RelayContext:
     """What all requests of an instance share.
 
     Args:
-        world: what is in force.
+        cluster_state: what is in force.
         dispatcher: finds places.
         board: loads and paces.
         health: which endpoints answer.
@@ -59,13 +59,13 @@
         ticker: the clock.
         log: where decisions are told.
         counts: get what happened.
-        budgets: returns the budget of repeats of a service.
+        get_retry_budget: returns the budget of repeats of a service.
         count_instances: returns how many instances there may be.
     """
 
     def __init__(
         self,
-        world: world_module.World,
+        cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
         board: board_module.Board,
         health: health_module.Health,
@@ -74,10 +74,10 @@
         ticker: clock.Clock,
         log: eventlog.Log,
         counts: metrics.Counts,
-        budgets: collections.abc.Callable[[str], retries.RetryBudget],
+        get_retry_budget: collections.abc.Callable[[str], retries.RetryBudget],
         count_instances: collections.abc.Callable[[], int],
     ) -> None:
-        self.world = world
+        self.cluster_state = cluster_state
         self.dispatcher = dispatcher
         self.board = board
         self.health = health
@@ -86,5 +86,5 @@
         self.ticker = ticker
         self.log = log
         self.counts = counts
-        self.budgets = budgets
+        self.get_retry_budget = get_retry_budget
         self.count_instances = count_instances
--- a/citronport/relay/lessee.py
+++ b/citronport/relay/lease_client.py
@@ -16,11 +16,11 @@
 from citronport.scheduler.direct import runs
 from citronport.scheduler.direct import waiting
 
-ASK_SECONDS = 0.06
+ANSWER_TIMEOUT_SECONDS = 0.06
 """How long an answer may stay out: two links of a millisecond, and an owner
 that reads a configuration of a thousand routes meanwhile."""
 
-ASK_AGAIN_SECONDS = 0.4
+QUEUED_ASK_INTERVAL_SECONDS = 0.4
 """Pause between two questions for a request that waits, two objectives of
 0.3 to 0.8 s at most. An owner that died shows by it, and a lost answer is
 sent again; at 0.15 s the questions of 300 waiting requests kept an owner
@@ -32,20 +32,20 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class InVain:
+class NoCapacity:
     """The request waited at the owner as long as it may, or would.
 
     Attributes:
-        pause: seconds after which it may find a place; 0 if not known.
+        retry_seconds: seconds after which it may find a place; 0 if not known.
     """
 
-    pause: float = 0.0
+    retry_seconds: float = 0.0
 
 
-Answer = messages.Granted | InVain
+Answer = messages.Granted | NoCapacity
 
 
-class Lessee:
+class LeaseClient:
     """Asks for places on behalf of the requests of this instance.
 
     Args:
@@ -80,7 +80,7 @@
         """Return how many requests wait at an owner."""
         return len(self._pending)
 
-    def ask(
+    def acquire(
         self, work: models.Work, service: str, tried: frozenset[str]
     ) -> Answer | None:
         """Return a place for a request; wait for one if need be.
@@ -89,14 +89,14 @@
             None if this instance has to decide by itself: it owns the
             endpoints, nobody does, or the owner does not answer.
         """
-        owner = self._choose(service)
+        owner = self._choose_owner(service)
         if owner is None or owner == self._own:
             return None
         answers = gevent_queue.SimpleQueue()
         self._pending[work.request_id] = answers
         found: Answer | None = None
         try:
-            found = self._wait(work, service, tried, owner, answers)
+            found = self._await_grant(work, service, tried, owner, answers)
         finally:
             del self._pending[work.request_id]
             if isinstance(found, messages.Granted):
@@ -105,10 +105,10 @@
             else:
                 # It may stand in the owner's queue, or hold a place there
                 # of which the news got lost.
-                self._tell(owner, self._make_end(work.request_id, ""))
+                self._tell(owner, self._make_ended(work.request_id, ""))
         return found
 
-    def take(self, answer: messages.Leasing) -> None:
+    def handle_answer(self, answer: messages.Leasing) -> None:
         """Take an owner's answer."""
         pending = self._pending.get(answer.request)
         if pending is not None:
@@ -120,10 +120,10 @@
             # Its caller has left, or it went elsewhere meanwhile.
             self._tell(
                 answer.instance,
-                self._make_end(answer.request, answer.endpoint),
+                self._make_ended(answer.request, answer.endpoint),
             )
 
-    def begin(self, request_id: str, endpoint: str) -> None:
+    def report_first_event(self, request_id: str, endpoint: str) -> None:
         """Tell the owner of a request's first event."""
         grant = self._grants.get((request_id, endpoint))
         if grant is None:
@@ -134,13 +134,13 @@
         for owner in self._list_owners(endpoint, *grant):
             self._tell(owner, begun)
 
-    def end(self, endpoint: str, run: runs.Run) -> None:
+    def release(self, endpoint: str, run: runs.Run) -> None:
         """Give a place back, with what was seen of the endpoint."""
         self._board.note_lease_end(endpoint, run.request_id)
         grant = self._grants.pop((run.request_id, endpoint), None)
         if grant is None:
             return
-        ended = self._make_end(run.request_id, endpoint, run)
+        ended = self._make_ended(run.request_id, endpoint, run)
         for owner in self._list_owners(endpoint, *grant):
             self._tell(owner, ended)
 
@@ -152,7 +152,10 @@
             grant = self._grants.get((run.request_id, endpoint))
             if grant is None:
                 continue
-            owner = self._owners.find_of(grant[0], endpoint, now) or grant[1]
+            owner = (
+                self._owners.find_endpoint_owner(grant[0], endpoint, now)
+                or grant[1]
+            )
             unread = run.prompt_tokens if run.first is None else 0
             held.setdefault(owner, []).append(
                 (run.request_id, endpoint, unread)
@@ -163,18 +166,20 @@
             )
             self._tell(owner, holding)
 
-    def _choose(self, service: str) -> str | None:
+    def _choose_owner(self, service: str) -> str | None:
         number = random.randrange(self._owners.count_pools(service))
         pool = ownership.Pool(service=service, number=number)
-        return self._owners.find(pool, self._ticker.now())
+        return self._owners.find_owner(pool, self._ticker.now())
 
     def _list_owners(
         self, endpoint: str, service: str, granted_by: str
     ) -> set[str]:
-        owner = self._owners.find_of(service, endpoint, self._ticker.now())
+        owner = self._owners.find_endpoint_owner(
+            service, endpoint, self._ticker.now()
+        )
         return {granted_by, owner or granted_by}
 
-    def _wait(
+    def _await_grant(
         self,
         work: models.Work,
         service: str,
@@ -188,13 +193,15 @@
         while (now := self._ticker.now()) < end:
             self._tell(owner, self._make_ask(work, service, tried, now))
             try:
-                answer = answers.get(timeout=min(ASK_SECONDS, end - now))
+                answer = answers.get(
+                    timeout=min(ANSWER_TIMEOUT_SECONDS, end - now)
+                )
             except gevent_queue.Empty:
                 # A wait that the end of the request's patience cut short
                 # says nothing of the owner.
-                unanswered += end - now >= ASK_SECONDS
+                unanswered += end - now >= ANSWER_TIMEOUT_SECONDS
                 if unanswered >= MAX_UNANSWERED:
-                    self._suspect(owner)
+                    self._mark_unresponsive(owner)
                     return None
                 continue
             unanswered = 0
@@ -202,20 +209,20 @@
                 case messages.Granted():
                     return answer
                 case messages.Queued():
-                    found = self._stay(answers, end)
+                    found = self._wait_in_queue(answers, end)
                     if found is not None:
                         return found
                 case messages.Full(seconds=seconds):
-                    return InVain(pause=seconds)
+                    return NoCapacity(retry_seconds=seconds)
                 case messages.Declined():
                     return None
-        return InVain()
+        return NoCapacity()
 
-    def _stay(
+    def _wait_in_queue(
         self, answers: gevent_queue.SimpleQueue, end: float
     ) -> Answer | None:
         """Wait in the owner's queue until it is time to ask again."""
-        until = min(end, self._ticker.now() + ASK_AGAIN_SECONDS)
+        until = min(end, self._ticker.now() + QUEUED_ASK_INTERVAL_SECONDS)
         while (left := until - self._ticker.now()) > 0:
             try:
                 answer = answers.get(timeout=left)
@@ -225,11 +232,11 @@
                 case messages.Granted():
                     return answer
                 case messages.Full(seconds=seconds):
-                    return InVain(pause=seconds)
+                    return NoCapacity(retry_seconds=seconds)
         return None
 
-    def _suspect(self, owner: str) -> None:
-        self._owners.suspect(owner, self._ticker.now())
+    def _mark_unresponsive(self, owner: str) -> None:
+        self._owners.mark_unresponsive(owner, self._ticker.now())
         self._log.write(events.OwnerSilent(owner=owner))
 
     def _make_ask(
@@ -254,7 +261,7 @@
             tried=list(tried),
         )
 
-    def _make_end(
+    def _make_ended(
         self,
         request_id: str,
         endpoint: str,
--- a/citronport/relay/lessor.py
+++ b/citronport/relay/lease_server.py
@@ -6,9 +6,9 @@
 from absl import logging
 
 from citronport import clock
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import messages
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import health as health_module
 from citronport.scheduler.direct import leases as leases_module
@@ -18,42 +18,42 @@
 
 LOG = "lessor:"
 
-FORGET_SECONDS = 1.4
+REMOTE_REQUEST_EXPIRY_SECONDS = 1.4
 """How long a request waits whose instance does not ask again: it asks every
 0.4 s, and three questions in a row hardly get lost."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Applicant:
+class _RemoteRequest:
     """A request of another instance; the handle of its waiter.
 
     Attributes:
         ask: the question.
         waiter: its place in the queue; None until it stands there.
-        seen: clock time of the newest question, seconds.
+        last_asked: clock time of the newest question, seconds.
         grant: called with the place that it gets.
     """
 
     ask: messages.Ask
-    seen: float
+    last_asked: float
     grant: collections.abc.Callable[
-        ["_Applicant", dispatcher_module.Booking], None
+        ["_RemoteRequest", dispatcher_module.Reservation], None
     ]
     waiter: waiting.Waiter | None = None
 
-    def set(self, booking: dispatcher_module.Booking) -> None:
+    def set(self, reservation: dispatcher_module.Reservation) -> None:
         """Take a place, as the queue's match gives it."""
-        self.grant(self, booking)
+        self.grant(self, reservation)
 
 
-class Lessor:
+class LeaseServer:
     """Answers the questions of other instances for places.
 
     Args:
         own: name of this instance.
         dispatcher: finds places and keeps who waits for one.
         leases: what was handed out.
-        world: what is in force.
+        cluster_state: what is in force.
         board: paces of endpoints.
         health: which endpoints answer.
         tell: sends a message to an instance, named.
@@ -65,7 +65,7 @@
         own: str,
         dispatcher: dispatcher_module.Dispatcher,
         leases: leases_module.Leases,
-        world: world_module.World,
+        cluster_state: cluster_state_module.ClusterState,
         board: board_module.Board,
         health: health_module.Health,
         tell: messages.Tell,
@@ -74,15 +74,15 @@
         self._own = own
         self._dispatcher = dispatcher
         self._leases = leases
-        self._world = world
+        self._cluster_state = cluster_state
         self._board = board
         self._health = health
         self._tell = tell
         self._ticker = ticker
-        self._applicants: dict[str, _Applicant] = {}
+        self._remote_requests: dict[str, _RemoteRequest] = {}
         self._granted: dict[str, messages.Granted] = {}
 
-    def take_ask(self, ask: messages.Ask) -> None:
+    def handle_ask(self, ask: messages.Ask) -> None:
         """Answer a question for a place."""
         now = self._ticker.now()
         granted = self._granted.get(ask.request)
@@ -90,40 +90,40 @@
             # The answer to an earlier question got lost.
             self._tell(ask.instance, granted)
             return
-        applicant = self._applicants.get(ask.request)
-        if applicant is None:
+        remote = self._remote_requests.get(ask.request)
+        if remote is None:
             work = self._make_work(ask, now)
             if work is None:
                 self._decline(ask)
                 return
-            applicant = _Applicant(ask, now, self._grant)
-            pause = self._enter(applicant, work, now)
+            remote = _RemoteRequest(ask, now, self._grant)
+            pause = self._enqueue(remote, work, now)
             if pause is not None:
-                self._turn_away(ask, pause)
+                self._reject(ask, pause)
                 return
-        applicant.seen = now
-        if ask.request in self._applicants:
+        remote.last_asked = now
+        if ask.request in self._remote_requests:
             queued = messages.Queued(
                 protocol=messages.PROTOCOL, request=ask.request
             )
             self._tell(ask.instance, queued)
 
-    def take_begun(self, begun: messages.Begun) -> None:
+    def handle_begun(self, begun: messages.Begun) -> None:
         """Note the first event of a request."""
         self._leases.begin(begun.request, begun.endpoint, self._ticker.now())
 
-    def take_ended(self, ended: messages.Ended) -> None:
+    def handle_ended(self, ended: messages.Ended) -> None:
         """Take a place back, or a request out of the queue."""
         now = self._ticker.now()
         if not ended.endpoint:
-            self._withdraw(ended.request)
+            self._cancel(ended.request)
             return
         self._granted.pop(ended.request, None)
-        self._learn(ended, now)
+        self._record_outcome(ended, now)
         self._leases.end(ended.request, ended.endpoint, now)
-        self._dispatcher.kick()
+        self._dispatcher.schedule_match()
 
-    def take_holding(self, holding: messages.Holding) -> None:
+    def handle_holding(self, holding: messages.Holding) -> None:
         """Take what an instance holds of this one."""
         held = [
             leases_module.Held(
@@ -132,46 +132,48 @@
             for request, endpoint, unread in holding.leases
         ]
         self._leases.renew(holding.instance, held, self._ticker.now())
-        self._dispatcher.kick()
+        self._dispatcher.schedule_match()
 
     def sweep(self) -> None:
         """Drop what nobody asks for or renews any more."""
         now = self._ticker.now()
-        for request, applicant in list(self._applicants.items()):
-            if now - applicant.seen > FORGET_SECONDS:
-                self._withdraw(request)
+        for request, remote in list(self._remote_requests.items()):
+            if now - remote.last_asked > REMOTE_REQUEST_EXPIRY_SECONDS:
+                self._cancel(request)
         self._leases.sweep(now)
         for request, granted in list(self._granted.items()):
             if not self._leases.has(request, granted.endpoint):
                 del self._granted[request]
 
-    def _enter(
-        self, applicant: _Applicant, work: models.Work, now: float
+    def _enqueue(
+        self, remote: _RemoteRequest, work: models.Work, now: float
     ) -> float | None:
         waiter = waiting.Waiter(
             work=work,
             since=now,
-            tried=frozenset(applicant.ask.tried),
-            handle=applicant,
+            tried=frozenset(remote.ask.tried),
+            handle=remote,
             leased=True,
         )
-        applicant.waiter = waiter
-        self._applicants[work.request_id] = applicant
-        return self._dispatcher.enter(waiter, applicant.ask.service)
+        remote.waiter = waiter
+        self._remote_requests[work.request_id] = remote
+        return self._dispatcher.enqueue(waiter, remote.ask.service)
 
-    def _turn_away(self, ask: messages.Ask, pause: float) -> None:
-        del self._applicants[ask.request]
+    def _reject(self, ask: messages.Ask, pause: float) -> None:
+        del self._remote_requests[ask.request]
         full = messages.Full(
             protocol=messages.PROTOCOL, request=ask.request, seconds=pause
         )
         self._tell(ask.instance, full)
 
     def _grant(
-        self, applicant: _Applicant, booking: dispatcher_module.Booking
+        self,
+        remote: _RemoteRequest,
+        reservation: dispatcher_module.Reservation,
     ) -> None:
-        ask = applicant.ask
-        self._applicants.pop(ask.request, None)
-        name = booking.endpoint.name
+        ask = remote.ask
+        self._remote_requests.pop(ask.request, None)
+        name = reservation.endpoint.name
         now = self._ticker.now()
         self._leases.grant(ask.request, name, ask.instance, now)
         granted = messages.Granted(
@@ -179,26 +181,26 @@
             instance=self._own,
             request=ask.request,
             endpoint=name,
-            seconds=booking.place.seconds,
+            seconds=reservation.place.seconds,
             load=self._board.get_load(name).requests,
             pace=int(self._board.get_pace(name) * 1e6),
         )
         self._granted[ask.request] = granted
         self._tell(ask.instance, granted)
 
-    def _withdraw(self, request: str) -> None:
-        applicant = self._applicants.pop(request, None)
-        if applicant is not None and applicant.waiter is not None:
-            self._dispatcher.withdraw(applicant.waiter, applicant.ask.service)
+    def _cancel(self, request: str) -> None:
+        remote = self._remote_requests.pop(request, None)
+        if remote is not None and remote.waiter is not None:
+            self._dispatcher.cancel(remote.waiter, remote.ask.service)
         granted = self._granted.pop(request, None)
         if granted is not None:
             self._health.note_unsent(granted.endpoint)
             self._leases.end(request, granted.endpoint)
-            self._dispatcher.kick()
+            self._dispatcher.schedule_match()
 
-    def _learn(self, ended: messages.Ended, now: float) -> None:
+    def _record_outcome(self, ended: messages.Ended, now: float) -> None:
         name = ended.endpoint
-        if name not in self._world.endpoints:
+        if name not in self._cluster_state.endpoints:
             return
         if ended.pace:
             self._board.hear_pace(ended.instance, name, ended.pace / 1e6)
@@ -227,9 +229,9 @@
         self._tell(ask.instance, declined)
 
     def _make_work(self, ask: messages.Ask, now: float) -> models.Work | None:
-        configuration = self._world.configuration
+        configuration = self._cluster_state.configuration
         route = configuration and configuration.find_route(ask.route)
-        if not route or not self._world.list_endpoints(ask.service):
+        if not route or not self._cluster_state.list_endpoints(ask.service):
             return None
         return models.Work(
             request_id=ask.request,
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -5,14 +5,14 @@
 import gevent
 
 from citronport import clock
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
-from citronport.relay import lessee as lessee_module
-from citronport.relay import lessor as lessor_module
+from citronport.relay import lease_client as lease_client_module
+from citronport.relay import lease_server as lease_server_module
 from citronport.relay import membership as membership_module
 from citronport.relay import messages
 from citronport.relay import owners as owners_module
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import health as health_module
 from citronport.scheduler.direct import leases as leases_module
@@ -23,15 +23,15 @@
 
     Attributes:
         owners: who hands out what.
-        lessee: asks for places.
-        lessor: hands them out.
+        lease_client: asks for places.
+        lease_server: hands them out.
         leases: what was handed out.
 
     Args:
         own: name of this instance.
         capacity: processor cores that it has.
         members: the other instances.
-        world: what is in force.
+        cluster_state: what is in force.
         dispatcher: finds places; it leases from now on.
         board: loads and paces.
         health: which endpoints answer.
@@ -46,7 +46,7 @@
         own: str,
         capacity: float,
         members: membership_module.Membership,
-        world: world_module.World,
+        cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
         board: board_module.Board,
         health: health_module.Health,
@@ -57,46 +57,59 @@
     ) -> None:
         self._ticker = ticker
         self.owners = owners_module.Owners(
-            own, capacity, members, world, is_ready, log, self._note_change
+            own,
+            capacity,
+            members,
+            cluster_state,
+            is_ready,
+            log,
+            self._on_owner_change,
         )
-        self.lessee = lessee_module.Lessee(
+        self.lease_client = lease_client_module.LeaseClient(
             own, self.owners, board, tell, ticker, log
         )
         self.leases = leases_module.Leases(board)
-        self.lessor = lessor_module.Lessor(
-            own, dispatcher, self.leases, world, board, health, tell, ticker
+        self.lease_server = lease_server_module.LeaseServer(
+            own,
+            dispatcher,
+            self.leases,
+            cluster_state,
+            board,
+            health,
+            tell,
+            ticker,
         )
         dispatcher.owners = self.owners
-        dispatcher.lessee = self.lessee
+        dispatcher.lease_client = self.lease_client
 
-    def take(self, message: messages.Leasing) -> None:
+    def handle(self, message: messages.Leasing) -> None:
         """Take a message of another instance, or one's own."""
         match message:
             case messages.Ask():
-                self.lessor.take_ask(message)
+                self.lease_server.handle_ask(message)
             case messages.Begun():
-                self.lessor.take_begun(message)
+                self.lease_server.handle_begun(message)
             case messages.Ended():
-                self.lessor.take_ended(message)
+                self.lease_server.handle_ended(message)
             case messages.Holding():
-                self.lessor.take_holding(message)
+                self.lease_server.handle_holding(message)
             case (
                 messages.Granted()
                 | messages.Queued()
                 | messages.Full()
                 | messages.Declined()
             ):
-                self.lessee.take(message)
+                self.lease_client.handle_answer(message)
 
-    def _note_change(self) -> None:
+    def _on_owner_change(self) -> None:
         # A new owner takes full endpoints for idle until it hears what
         # runs there, and hands out their places once more. Each instance
         # tells it with its first question, and not up to half a second
         # later.
-        gevent.spawn(self.lessee.renew)
+        gevent.spawn(self.lease_client.renew)
 
-    def renew_again_and_again(self) -> None:
+    def run_renewal_loop(self) -> None:
         """Tell owners what this instance holds, for ever."""
         while True:
             self._ticker.sleep(leases_module.RENEW_SECONDS)
-            self.lessee.renew()
+            self.lease_client.renew()
--- a/citronport/relay/limits.py
+++ b/citronport/relay/limits.py
@@ -9,11 +9,13 @@
 from citronport.relay import jobs
 
 
-def note_answer(parts: jobs.Parts, endpoint: str, text: str | None) -> None:
+def record_limit(
+    context: jobs.RelayContext, endpoint: str, text: str | None
+) -> None:
     """Take what an endpoint's answer says of its limit.
 
     Args:
-        parts: shared by all requests.
+        context: shared by all requests.
         endpoint: which answered.
         text: the limit as it came; None if none is named.
     """
@@ -21,20 +23,22 @@
     if text is not None:
         match requests.parse_limit(text):
             case result.Err(reason):
-                _reject(parts, endpoint, reason)
+                _log_invalid_limit(context, endpoint, reason)
                 return
             case result.Ok(rate):
                 pass
-    if parts.limits.note_answer(endpoint, rate, parts.ticker.now()):
-        parts.log.write(
+    if context.limits.note_answer(endpoint, rate, context.ticker.now()):
+        context.log.write(
             events.EndpointLimited(
                 endpoint=endpoint, rate=-1.0 if rate is None else rate
             )
         )
 
 
-def _reject(parts: jobs.Parts, endpoint: str, reason: str) -> None:
-    parts.log.write(
+def _log_invalid_limit(
+    context: jobs.RelayContext, endpoint: str, reason: str
+) -> None:
+    context.log.write(
         events.InputRejected(
             code=int(errors.InputFault.BAD_LIMIT),
             key=f"{const.ENDPOINT_LIMIT} of {endpoint}",
--- a/citronport/relay/owners.py
+++ b/citronport/relay/owners.py
@@ -2,17 +2,17 @@
 
 import collections.abc
 
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import eventlog
 from citronport.relay import events
 from citronport.relay import membership as membership_module
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import ownership
 
-VIEW_SECONDS = 0.2
+CANDIDATES_CACHE_SECONDS = 0.2
 """Age up to which a list of the candidates is used again: reports come
 every 0.75 s in a fleet of 60, and each request needs the list."""
 
-SUSPECT_SECONDS = 1.5
+UNRESPONSIVE_SECONDS = 1.5
 """How long an owner that does not answer is passed over. It is out of reach
 for all after about as long, if it is dead."""
 
@@ -24,10 +24,10 @@
         own: name of this instance.
         capacity: processor cores of this instance.
         members: the other instances.
-        world: which endpoints there are.
+        cluster_state: which endpoints there are.
         is_ready: whether this instance may own endpoints.
         log: where changes of owners are told.
-        note_change: called when an owner has changed.
+        on_change: called when an owner has changed.
     """
 
     def __init__(
@@ -35,44 +35,50 @@
         own: str,
         capacity: float,
         members: membership_module.Membership,
-        world: world_module.World,
+        cluster_state: cluster_state_module.ClusterState,
         is_ready: collections.abc.Callable[[], bool],
         log: eventlog.Log,
-        note_change: collections.abc.Callable[[], None],
+        on_change: collections.abc.Callable[[], None],
     ) -> None:
         self._own = own
         self._capacity = capacity
         self._members = members
-        self._world = world
+        self._cluster_state = cluster_state
         self._is_ready = is_ready
         self._log = log
-        self._note_change = note_change
-        self._suspects: dict[str, float] = {}
+        self._on_change = on_change
+        self._unresponsive: dict[str, float] = {}
         self._candidates: tuple[ownership.Candidate, ...] = ()
         self._owners: dict[ownership.Pool, str | None] = {}
-        self._viewed = float("-inf")
-        self._told: dict[ownership.Pool, str | None] = {}
+        self._refreshed = float("-inf")
+        self._logged: dict[ownership.Pool, str | None] = {}
         self._since: dict[ownership.Pool, float] = {}
 
-    def find(self, pool: ownership.Pool, now: float) -> str | None:
+    def find_owner(self, pool: ownership.Pool, now: float) -> str | None:
         """Return the owner of a pool; None if each decides for itself."""
-        self._view(now)
+        self._refresh_candidates(now)
         if pool not in self._owners:
             owner = ownership.choose_owner(pool, self._candidates)
             self._owners[pool] = owner
-            self._note(pool, owner, now)
+            self._record_owner(pool, owner, now)
         return self._owners[pool]
 
-    def find_of(self, service: str, endpoint: str, now: float) -> str | None:
+    def find_endpoint_owner(
+        self, service: str, endpoint: str, now: float
+    ) -> str | None:
         """Return the owner of one endpoint."""
         pools = self.count_pools(service)
-        return self.find(ownership.find_pool(service, endpoint, pools), now)
+        return self.find_owner(
+            ownership.find_pool(service, endpoint, pools), now
+        )
 
     def count_pools(self, service: str) -> int:
         """Return the number of pools of a service."""
-        return ownership.count_pools(len(self._world.list_endpoints(service)))
+        return ownership.count_pools(
+            len(self._cluster_state.list_endpoints(service))
+        )
 
-    def get_tenure(self, service: str, now: float) -> float | None:
+    def get_owned_seconds(self, service: str, now: float) -> float | None:
         """Return how long this instance has owned endpoints of a service.
 
         Returns:
@@ -81,22 +87,22 @@
         longest = None
         for number in range(self.count_pools(service)):
             pool = ownership.Pool(service=service, number=number)
-            if self.find(pool, now) == self._own:
+            if self.find_owner(pool, now) == self._own:
                 longest = max(longest or 0.0, now - self._since[pool])
         return longest
 
-    def suspect(self, instance: str, now: float) -> None:
+    def mark_unresponsive(self, instance: str, now: float) -> None:
         """Pass over an owner that does not answer, for a while."""
-        self._suspects[instance] = now + SUSPECT_SECONDS
-        self._viewed = float("-inf")
+        self._unresponsive[instance] = now + UNRESPONSIVE_SECONDS
+        self._refreshed = float("-inf")
 
-    def _view(self, now: float) -> None:
-        if now - self._viewed < VIEW_SECONDS:
+    def _refresh_candidates(self, now: float) -> None:
+        if now - self._refreshed < CANDIDATES_CACHE_SECONDS:
             return
-        self._viewed = now
-        self._suspects = {
+        self._refreshed = now
+        self._unresponsive = {
             name: until
-            for name, until in self._suspects.items()
+            for name, until in self._unresponsive.items()
             if now < until
         }
         candidates = self._list_candidates(now)
@@ -110,7 +116,9 @@
         found = [
             ownership.Candidate(instance=r.instance, capacity=r.capacity)
             for r in self._members.list_fresh(now)
-            if r.ready and not r.leaving and r.instance not in self._suspects
+            if r.ready
+            and not r.leaving
+            and r.instance not in self._unresponsive
         ]
         if self._is_ready():
             found.append(
@@ -120,12 +128,12 @@
             )
         return tuple(sorted(found, key=lambda c: c.instance))
 
-    def _note(
+    def _record_owner(
         self, pool: ownership.Pool, owner: str | None, now: float
     ) -> None:
-        if self._told.get(pool) == owner:
+        if self._logged.get(pool) == owner:
             return
-        self._told[pool] = owner
+        self._logged[pool] = owner
         self._since[pool] = now
         self._log.write(
             events.OwnerChanged(
@@ -135,4 +143,4 @@
                 candidates=len(self._candidates),
             )
         )
-        self._note_change()
+        self._on_change()
--- a/citronport/relay/progress.py
+++ b/citronport/relay/progress.py
@@ -14,7 +14,7 @@
 
     Attributes:
         attempts: sends to endpoints, those that did not come about too.
-        ran: endpoints that have or may have run it.
+        possible_runs: endpoints that have or may have run it.
         waited: time in the queue, seconds.
         endpoint: the newest one chosen.
         first: time to the first byte of the answer; -1 before.
@@ -25,7 +25,7 @@
     """
 
     attempts: int = 0
-    ran: int = 0
+    possible_runs: int = 0
     waited: float = 0.0
     endpoint: str = ""
     first: float = -1.0
@@ -43,35 +43,35 @@
         return meaning.ran == errors.Ran.NOT_RUN
 
 
-def tell_sent(
-    parts: jobs.Parts,
+def record_sent(
+    context: jobs.RelayContext,
     job: jobs.Job,
     progress: Progress,
-    booking: dispatcher_module.Booking,
+    reservation: dispatcher_module.Reservation,
 ) -> None:
     """Tell that a request goes to an endpoint now, and why there."""
-    parts.counts.sends["sent"] += 1
-    parts.counts.leased += booking.leased
-    parts.log.write(
+    context.counts.sends["sent"] += 1
+    context.counts.leased += reservation.leased
+    context.log.write(
         events.RequestSent(
             request=job.work.request_id,
-            endpoint=booking.endpoint.name,
+            endpoint=reservation.endpoint.name,
             attempt=progress.attempts,
             waited=progress.waited,
             prompt=job.work.prompt_tokens,
             output=job.work.output_tokens,
             hint=job.work.expected_tokens,
-            expected=booking.place.seconds,
-            load=booking.load,
-            pace=booking.pace,
-            leased=booking.leased,
+            expected=reservation.place.seconds,
+            load=reservation.load,
+            pace=reservation.pace,
+            leased=reservation.leased,
             fingerprint=job.fingerprint,
         )
     )
 
 
-def tell_failed(
-    parts: jobs.Parts,
+def record_failed(
+    context: jobs.RelayContext,
     job: jobs.Job,
     progress: Progress,
     endpoint: str,
@@ -83,7 +83,7 @@
     """Tell that a send brought no usable answer.
 
     Args:
-        parts: shared by all requests.
+        context: shared by all requests.
         job: the request.
         progress: how far it has got.
         endpoint: where it was sent.
@@ -91,9 +91,9 @@
         ran: "yes", "no" or "maybe".
         cut: whether the endpoint's connection broke under it.
     """
-    parts.counts.cuts += cut
-    parts.counts.sends[f"failed, ran: {ran}"] += 1
-    parts.log.write(
+    context.counts.cuts += cut
+    context.counts.sends[f"failed, ran: {ran}"] += 1
+    context.log.write(
         events.SendFailed(
             request=job.work.request_id,
             endpoint=endpoint,
@@ -106,11 +106,13 @@
     )
 
 
-def tell_end(parts: jobs.Parts, job: jobs.Job, progress: Progress) -> None:
+def record_end(
+    context: jobs.RelayContext, job: jobs.Job, progress: Progress
+) -> None:
     """Tell and count how a request ended."""
-    _count_end(parts, job, progress)
+    _count_end(context, job, progress)
     work = job.work
-    parts.log.write(
+    context.log.write(
         events.RequestEnded(
             request=work.request_id,
             route=work.route.name,
@@ -126,14 +128,16 @@
             waited=progress.waited,
             first=progress.first,
             longest=progress.longest,
-            seconds=parts.ticker.now() - work.arrived,
+            seconds=context.ticker.now() - work.arrived,
             version=job.version,
         )
     )
 
 
-def _count_end(parts: jobs.Parts, job: jobs.Job, progress: Progress) -> None:
-    counts = parts.counts
+def _count_end(
+    context: jobs.RelayContext, job: jobs.Job, progress: Progress
+) -> None:
+    counts = context.counts
     kind = str(job.work.route.repeat)
     counts.requests[kind, job.work.tier, progress.outcome] += 1
     counts.waits.observe(progress.waited)
--- a/citronport/relay/upstream.py
+++ b/citronport/relay/upstream.py
@@ -7,12 +7,12 @@
 from citronport.endpoints import connection
 from citronport.platform import requests
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """How long a connection may take to come about. Endpoints are about two
 milliseconds away; a lost first packet is sent again after a second, and
 another endpoint has answered by then."""
 
-WHOLE_BODY_BYTES = 65536
+SINGLE_WRITE_BYTES = 65536
 """Bodies up to this size are sent in one go."""
 
 
@@ -56,11 +56,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Withheld:
+class Barred:
     """The request was barred while its connection came about."""
 
 
-Failure = Unreachable | Broken | NotRun | Replaced | Withheld
+Failure = Unreachable | Broken | NotRun | Replaced | Barred
 Outcome = Answered | Failure
 
 
@@ -81,7 +81,7 @@
         """Connect to the endpoint."""
         try:
             self._connection = connection.dial(
-                self._address, seconds=CONNECT_SECONDS
+                self._address, seconds=CONNECT_TIMEOUT_SECONDS
             )
         except OSError as error:
             return Unreachable(reason=type(error).__name__)
@@ -89,11 +89,11 @@
 
     def send(self, request: bytes) -> Outcome:
         """Send the request and wait for the head of its answer."""
-        used = self._connection
-        assert used is not None
+        conn = self._connection
+        assert conn is not None
         try:
-            self._put(used, request)
-            head = used.read_head()
+            self._write(conn, request)
+            head = conn.read_head()
         except (OSError, http_response.HTTPParseError) as error:
             return Broken(reason=type(error).__name__, cut=True)
         answer = requests.parse_answer(head)
@@ -125,14 +125,14 @@
             self._connection.close()
             self._connection = None
 
-    def _put(self, used: connection.Connection, request: bytes) -> None:
-        if len(request) <= WHOLE_BODY_BYTES:
+    def _write(self, conn: connection.Connection, request: bytes) -> None:
+        if len(request) <= SINGLE_WRITE_BYTES:
             try:
-                used.send(request)
+                conn.send(request)
             except OSError:
                 # An endpoint may have answered and closed before it read
                 # all of the request; the answer can still be read.
-                if not used.has_input():
+                if not conn.has_input():
                     raise
             return
-        used.send_watching(request)
+        conn.send_watching(request)
