--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -215,13 +215,13 @@
     return script
 
 
-def hang_up(sock, headers):
+def close_unanswered(sock, headers):
     """Close the connection without an answer."""
     del headers
     sock.close()
 
 
-def say_nothing(sock, headers):
+def never_answer(sock, headers):
     """Never answer."""
     del sock, headers
     gevent.sleep(60)
--- a/tests/relay/samples.py
+++ b/tests/relay/samples.py
@@ -3,10 +3,10 @@
 import os
 
 from citronport import clock
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import membership
-from citronport.relay import world as world_module
 from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import cold as cold_module
 from citronport.scheduler.direct import endpoint_limits
@@ -124,14 +124,18 @@
         self.limits = endpoint_limits.EndpointLimits()
         self.members = membership.Membership(own, "a")
         self.log = make_log(self.ticker)
-        self.world = world_module.World(self.cold, self.board.forget, self.log)
-        self.world.configuration = configuration or make_configuration()
+        self.cluster_state = cluster_state_module.ClusterState(
+            self.cold, self.board.forget, self.log
+        )
+        self.cluster_state.configuration = (
+            configuration or make_configuration()
+        )
         for endpoint in endpoints:
-            self.world.endpoints[endpoint.name] = endpoint
-        self.world._index()
+            self.cluster_state.endpoints[endpoint.name] = endpoint
+        self.cluster_state._index()
         self.dispatcher = dispatcher_module.Dispatcher(
             own,
-            self.world,
+            self.cluster_state,
             self.members,
             self.board,
             self.health,
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -36,11 +36,11 @@
         """Make an instance that knows nothing."""
         super().setUp()
         self.clock = clock.ManualClock()
-        self.met = 0.0
+        self.peers_known_at = 0.0
         self.room = samples.Room([], self.clock)
-        self.room.world.configuration = None
-        parts = jobs.Parts(
-            self.room.world,
+        self.room.cluster_state.configuration = None
+        context = jobs.RelayContext(
+            self.room.cluster_state,
             self.room.dispatcher,
             self.room.board,
             self.room.health,
@@ -53,14 +53,14 @@
             lambda: 1,
         )
         self.application = application.Application(
-            parts,
+            context,
             quota.Quotas(),
             lambda: 1.0,
             lambda: 0.1,
             lambda: False,
             lambda: False,
             lambda: 0.0,
-            lambda: self.clock.now() < self.met,
+            lambda: self.clock.now() < self.peers_known_at,
             self.clock,
         )
 
@@ -91,7 +91,9 @@
         def wait():
             while self.clock.now() < seconds:
                 gevent.sleep(0)
-            self.room.world.configuration = samples.make_configuration()
+            self.room.cluster_state.configuration = (
+                samples.make_configuration()
+            )
 
         gevent.spawn(wait)
         gevent.sleep(0)
@@ -103,7 +105,7 @@
         self.assertEqual("404", status)
         self.assertLess(self.clock.now(), 0.6)
 
-    def test_refused_while_it_can_still_come_back(self):
+    def test_refused_early_enough_for_a_retry(self):
         """A store that stays away: the caller keeps most of its time."""
         status, headers = self.ask(2.0)
         self.assertEqual("503", status)
@@ -119,16 +121,16 @@
 
     def test_waits_until_the_others_are_known(self):
         """One that knows nobody sends to engines that are full already."""
-        self.room.world.configuration = samples.make_configuration()
-        self.met = 0.4
+        self.room.cluster_state.configuration = samples.make_configuration()
+        self.peers_known_at = 0.4
         status, _ = self.ask(4.0)
         self.assertEqual("404", status)
         self.assertGreaterEqual(self.clock.now(), 0.4)
 
-    def test_does_not_wait_for_others_in_vain(self):
+    def test_short_deadline_bounds_the_wait_for_the_others(self):
         """A short wait is all that an urgent request can afford."""
-        self.room.world.configuration = samples.make_configuration()
-        self.met = 9.0
+        self.room.cluster_state.configuration = samples.make_configuration()
+        self.peers_known_at = 9.0
         status, _ = self.ask(1.0)
         self.assertEqual("404", status)
         self.assertLess(self.clock.now(), 0.3)
--- a/tests/relay/test_crashing_request.py
+++ b/tests/relay/test_crashing_request.py
@@ -10,7 +10,7 @@
 STABLE_SECONDS = 3.0
 """Time after the third end by which all instances know of the request."""
 
-ENDS = 3
+CRASHES = 3
 """Endpoints that a request may end before it counts as their cause."""
 
 ALLOWED_SENDS = 3
@@ -19,7 +19,7 @@
 CRASHING = "/review/crashing"
 
 
-class FragileEndpoint(fakes.Endpoint):
+class CrashingEndpoint(fakes.Endpoint):
     """An endpoint that one request ends; it starts again under a new name.
 
     Args:
@@ -32,10 +32,10 @@
         self.case = case
         self.number = number
         self.starts = 0
-        self.ends = 0
-        self.list()
+        self.crashes = 0
+        self.register()
 
-    def list(self):
+    def register(self):
         """Enter a new start of this endpoint into the list."""
         self.starts += 1
         self.name = f"e{self.number}-{self.starts}"
@@ -49,9 +49,9 @@
         if target != CRASHING:
             fakes.answer()(sock, headers)
             return
-        self.ends += 1
+        self.crashes += 1
         self.case.store.delete(f"servers/{self.name}")
-        self.list()
+        self.register()
         fakes.stream(whole=False)(sock, headers)
 
 
@@ -62,7 +62,7 @@
         """Start endpoints and instances."""
         super().setUp()
         self.store.delete("servers/i-1")
-        self.endpoints = [FragileEndpoint(self, n) for n in range(4)]
+        self.endpoints = [CrashingEndpoint(self, n) for n in range(4)]
         self.hosts = [self.start(1), self.start(2)]
         for host in self.hosts:
             self.wait_for(
@@ -70,41 +70,41 @@
             )
         self.asked = 0
 
-    def count_ends(self):
+    def count_crashes(self):
         """Return how many endpoints have ended."""
-        return sum(e.ends for e in self.endpoints)
+        return sum(e.crashes for e in self.endpoints)
 
     def ask_again(self, host, path=CRASHING):
         """Ask for the same under a new id; return the status."""
         self.asked += 1
         return self.ask(host, f"id-{self.asked}", path=path)[0]
 
-    def end_three(self):
+    def crash_three(self):
         """Ask until three endpoints have ended, and wait."""
         end = time.monotonic() + instances.SECONDS
-        while self.count_ends() < ENDS and time.monotonic() < end:
+        while self.count_crashes() < CRASHES and time.monotonic() < end:
             self.ask_again(self.hosts[self.asked % 2])
         gevent.sleep(STABLE_SECONDS)
 
-    def test_repeats_do_not_end_endpoint_after_endpoint(self):
+    def test_repeats_do_not_crash_endpoint_after_endpoint(self):
         """Guards against a request that ends each endpoint it is sent to."""
-        self.end_three()
-        before = self.count_ends()
+        self.crash_three()
+        before = self.count_crashes()
         for _ in range(4):
             for host in self.hosts:
                 self.ask_again(host)
                 gevent.sleep(0.1)
-        self.assertLessEqual(self.count_ends() - before, ALLOWED_SENDS)
+        self.assertLessEqual(self.count_crashes() - before, ALLOWED_SENDS)
         for host in self.hosts:
             self.assertEqual(200, self.ask_again(host, "/review/other"))
 
     def test_instance_that_starts_later_knows_the_request(self):
         """Guards against a restart after which all is tried once more."""
-        self.end_three()
+        self.crash_three()
         host = self.start(3)
         self.wait_for("the start", lambda: self.is_ready(host))
         gevent.sleep(STABLE_SECONDS)
-        before = self.count_ends()
+        before = self.count_crashes()
         for _ in range(8):
             self.ask_again(host)
-        self.assertLessEqual(self.count_ends() - before, ALLOWED_SENDS)
+        self.assertLessEqual(self.count_crashes() - before, ALLOWED_SENDS)
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -11,7 +11,7 @@
 class DispatcherTest(testtools.TestCase):
     """Waiting on the event loop."""
 
-    def test_waits_in_vain_and_is_told_when_to_come_back(self):
+    def test_refused_with_a_retry_time_after_waiting(self):
         """A caller meets a full service.
 
         All places are taken when its request comes. It waits as long as
@@ -25,7 +25,7 @@
                 samples.ENGINES,
                 frozenset(),
             )
-            self.assertIsInstance(taken, dispatcher_module.Booking)
+            self.assertIsInstance(taken, dispatcher_module.Reservation)
         route = samples.make_route(objective=0.02)
         work = samples.make_work("late", route, room.ticker.now())
         found = room.dispatcher.acquire(work, samples.ENGINES, frozenset())
@@ -34,7 +34,7 @@
         self.assertGreater(found.retry_after, 0)
         self.assertEqual(0, room.dispatcher.count_waiting())
 
-    def test_hears_at_once_that_it_would_wait_in_vain(self):
+    def test_refused_at_once_if_the_wait_would_be_too_long(self):
         """Load: a service that is full for longer than requests wait.
 
         Forty requests wait for two places that are held for seconds. The
@@ -57,7 +57,7 @@
         self.assertLess(found.retry_after, 0.3 * 15.0)
         gevent.killall(waiters)
 
-    def test_freed_place_goes_to_who_waits(self):
+    def test_released_reservation_goes_to_a_waiter(self):
         """A caller waits and gets the place that another gives back."""
         room = samples.Room([samples.make_endpoint()])
         taken = [
@@ -97,15 +97,15 @@
             work, samples.ENGINES, frozenset({"e1"})
         )
         self.assertIsInstance(found, errors.Refusal)
-        del room.world.endpoints["e2"]
-        room.world._index()
+        del room.cluster_state.endpoints["e2"]
+        room.cluster_state._index()
         again = samples.make_work("r2", route, room.ticker.now())
         found = room.dispatcher.acquire(
             again, samples.ENGINES, frozenset({"e1"})
         )
         self.assertEqual("e1", found.endpoint.name)
 
-    def test_no_endpoint_is_told_as_such(self):
+    def test_no_endpoint_has_its_own_code(self):
         """No endpoint is listed: the caller hears so after its wait."""
         room = samples.Room([])
         route = samples.make_route(objective=0.01)
@@ -113,7 +113,7 @@
         found = room.dispatcher.acquire(work, samples.ENGINES, frozenset())
         self.assertEqual(errors.Code.NO_ENDPOINT, found.code)
 
-    def test_a_flood_of_news_is_one_look(self):
+    def test_many_changes_cause_one_match(self):
         """Load: an owner that hears of a thousand ends a second.
 
         Hundreds of requests wait, and each end would make the owner look
@@ -126,19 +126,23 @@
         waiter = gevent.spawn(self.acquire, room, "w")
         gevent.sleep(0)
         looks = []
-        room.world.list_endpoints = lambda service: looks.append(service) or []
+        room.cluster_state.list_endpoints = lambda service: (
+            looks.append(service) or []
+        )
         for _ in range(1000):
-            room.dispatcher.kick()
+            room.dispatcher.schedule_match()
         gevent.sleep(0)
         self.assertEqual([samples.ENGINES], looks)
         waiter.kill()
 
-    def test_nobody_waits_and_nothing_is_looked_at(self):
+    def test_release_without_waiters_causes_no_match(self):
         """Calm: an end that nobody waits for costs nothing."""
         room = samples.Room([samples.make_endpoint()])
         taken = self.acquire(room, "t")
         looks = []
-        room.world.list_endpoints = lambda service: looks.append(service) or []
+        room.cluster_state.list_endpoints = lambda service: (
+            looks.append(service) or []
+        )
         room.dispatcher.release(taken, "t")
         gevent.sleep(0)
         self.assertEqual([], looks)
--- a/tests/relay/test_endpoint_limit.py
+++ b/tests/relay/test_endpoint_limit.py
@@ -23,7 +23,7 @@
 """What callers ask for, requests a second."""
 
 
-class NeedyEndpoint(fakes.Endpoint):
+class LimitingEndpoint(fakes.Endpoint):
     """An endpoint that may name a limit.
 
     Attributes:
@@ -61,9 +61,9 @@
         super().setUp()
         self.put_configuration(8, {"ratePerS": 0}, kind="idempotent")
         self.store.delete("servers/i-1")
-        self.needy = NeedyEndpoint(self)
-        self.other = NeedyEndpoint(self)
-        self.put_endpoint("needy", address=self.needy.address)
+        self.limiting = LimitingEndpoint(self)
+        self.other = LimitingEndpoint(self)
+        self.put_endpoint("needy", address=self.limiting.address)
         self.put_endpoint("other", address=self.other.address)
         self.numbers = itertools.count()
         self.statuses = []
@@ -78,7 +78,7 @@
             )
         return hosts
 
-    def press(self, hosts, seconds):
+    def apply_load(self, hosts, seconds):
         """Let callers ask all instances in turn for a while."""
         end = time.monotonic() + seconds
         asks = []
@@ -95,28 +95,28 @@
         path = f"/review/{number}"
         self.statuses.append(self.ask(host, f"id-{number}", path=path)[0])
 
-    def check(self, instances_number):
+    def check_limit(self, instances_number):
         """Check that a limit is kept from its time on, and its lifting."""
         hosts = self.start_all(instances_number)
-        self.press(hosts, 1.0)
-        self.needy.rate = RATE
+        self.apply_load(hosts, 1.0)
+        self.limiting.rate = RATE
         named = time.monotonic()
-        self.press(hosts, STABLE_SECONDS + 1.5 * WINDOW_SECONDS)
-        busiest = self.needy.count_busiest(named + STABLE_SECONDS)
+        self.apply_load(hosts, STABLE_SECONDS + 1.5 * WINDOW_SECONDS)
+        busiest = self.limiting.count_busiest(named + STABLE_SECONDS)
         allowed = OVER * RATE * WINDOW_SECONDS + EXTRA
         self.assertLessEqual(busiest, allowed)
         self.assertGreaterEqual(busiest, RATE * WINDOW_SECONDS / 3)
         self.assertEqual({200}, set(self.statuses))
-        self.needy.rate = None
+        self.limiting.rate = None
         lifted = time.monotonic()
-        self.press(hosts, 3.0)
-        taken = [at for at in self.needy.arrivals if at > lifted + 1.0]
+        self.apply_load(hosts, 3.0)
+        taken = [at for at in self.limiting.arrivals if at > lifted + 1.0]
         self.assertGreater(len(taken), 2 * RATE * 2.0)
 
     def test_one_instance_keeps_it(self):
         """Guards against an endpoint in need that gets as much as others."""
-        self.check(1)
+        self.check_limit(1)
 
     def test_instances_keep_it_together(self):
         """Guards against a limit that each instance uses up by itself."""
-        self.check(4)
+        self.check_limit(4)
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -14,7 +14,7 @@
 from tests.relay import samples
 from tests.relay import test_membership
 
-FLEET = 13
+INSTANCES = 13
 """Instances, so that some are neither owner nor asked next."""
 
 
@@ -30,7 +30,7 @@
         self.name = name
         self.silent = False
         self.lost = ()
-        self.heard = []
+        self.received = []
         self._net = net
         room = self.room = samples.Room(
             endpoints, clock.RuntimeClock(), configuration, name
@@ -39,7 +39,7 @@
             name,
             1.0,
             room.members,
-            room.world,
+            room.cluster_state,
             room.dispatcher,
             room.board,
             room.health,
@@ -55,12 +55,12 @@
         if other.silent or isinstance(message, other.lost):
             return
         data = messages.CODEC.encode(message)
-        gevent.spawn(other.take, messages.CODEC.unpack(data))
+        gevent.spawn(other.receive, messages.CODEC.unpack(data))
 
-    def take(self, message):
+    def receive(self, message):
         """Take a message."""
-        self.heard.append(message)
-        self.leasing.take(message)
+        self.received.append(message)
+        self.leasing.handle(message)
 
     def acquire(self, request_id="r1", route=None, tried=()):
         """Ask for a place for a request that arrives now."""
@@ -81,7 +81,7 @@
         """Make the nodes, each of which hears of all others."""
         super().setUp()
         self.net = {}
-        self.names = [f"i{n}" for n in range(FLEET)]
+        self.names = [f"i{n}" for n in range(INSTANCES)]
         for name in self.names:
             self.net[name] = Node(name, self.net, [samples.make_endpoint()])
         for node in self.net.values():
@@ -96,12 +96,12 @@
     def find_owner(self, node):
         """Return the owner that a node sees."""
         pool = ownership.Pool(service=samples.ENGINES, number=0)
-        return node.leasing.owners.find(pool, node.room.ticker.now())
+        return node.leasing.owners.find_owner(pool, node.room.ticker.now())
 
     def configure(self, route):
         """Put a route into force on all nodes."""
         for node in self.net.values():
-            node.room.world.configuration = samples.make_configuration(
+            node.room.cluster_state.configuration = samples.make_configuration(
                 (route,)
             )
 
@@ -114,7 +114,7 @@
         owners = {self.find_owner(node) for node in self.net.values()}
         self.assertEqual({self.owner.name}, owners)
 
-    def test_alone_it_decides_by_itself(self):
+    def test_single_instance_decides_by_itself(self):
         """Nobody else is there to ask."""
         node = Node("alone", self.net, [samples.make_endpoint()])
         found = node.acquire()
@@ -151,7 +151,7 @@
         self.assertFalse(later.ready())
         later.kill()
 
-    def test_waits_in_vain_and_is_told_when_to_come_back(self):
+    def test_refused_with_a_retry_time_after_waiting(self):
         """All places stay taken.
 
         The caller hears so after its patience, and the owner forgets its
@@ -166,7 +166,7 @@
         self.settle()
         self.assertEqual(0, self.owner.room.dispatcher.count_waiting())
 
-    def test_hears_at_once_that_it_would_wait_in_vain(self):
+    def test_refused_at_once_if_the_wait_would_be_too_long(self):
         """The owner's endpoint is full, and forty requests wait there.
 
         A request of another instance hears within a moment that it has not
@@ -188,7 +188,7 @@
         self.assertLessEqual(self.owner.room.dispatcher.count_waiting(), 40)
         gevent.killall(waiting)
 
-    def test_owner_dies_and_nobody_waits_for_it(self):
+    def test_dead_owner_delays_nobody(self):
         """The owner is killed.
 
         The first request notices within 0.15 s and is sent by its own
@@ -204,11 +204,11 @@
         self.assertLess(self.one.room.ticker.now() - began, 0.3)
         second = self.net[self.find_owner(self.one)]
         self.assertIsNot(self.owner, second)
-        self.one.leasing.lessee.renew()
+        self.one.leasing.lease_client.renew()
         self.settle()
         self.assertEqual(1, second.leasing.leases.has("held", "e1"))
 
-    def test_owner_that_leaves_is_followed_by_one_that_knows(self):
+    def test_successor_of_a_leaving_owner_learns_the_leases(self):
         """The owner is told to stop, while an endpoint is full.
 
         The next owner hears of what runs from each instance as soon as
@@ -222,13 +222,13 @@
         )
         now = self.one.room.ticker.now()
         self.one.room.members.hear(report, now)
-        gevent.sleep(owners_module.VIEW_SECONDS)
+        gevent.sleep(owners_module.CANDIDATES_CACHE_SECONDS)
         second = self.net[self.find_owner(self.one)]
         self.assertIsNot(self.owner, second)
         self.settle()
         self.assertTrue(second.leasing.leases.has("held", "e1"))
 
-    def test_short_patience_says_nothing_of_the_owner(self):
+    def test_short_wait_does_not_mark_the_owner_unresponsive(self):
         """A request has 0.09 s left to wait, and one question gets lost.
 
         Its second question has no time for an answer: the request ends in
@@ -247,8 +247,8 @@
         """
         for node in self.net.values():
             second = samples.make_endpoint("e2")
-            node.room.world.endpoints["e2"] = second
-            node.room.world._index()
+            node.room.cluster_state.endpoints["e2"] = second
+            node.room.cluster_state._index()
         self.one.lost = (messages.Granted,)
         asked = gevent.spawn(self.one.acquire, "r1")
         gevent.sleep(0.03)
@@ -289,9 +289,9 @@
 
     def test_owner_that_does_not_know_the_route(self):
         """It has an older configuration: the asker decides by itself."""
-        self.owner.room.world.configuration = samples.make_configuration(
-            (samples.make_route(name="old"),)
+        self.owner.room.cluster_state.configuration = (
+            samples.make_configuration((samples.make_route(name="old"),))
         )
         found = self.one.acquire("r1")
-        self.assertIsInstance(found, dispatcher_module.Booking)
+        self.assertIsInstance(found, dispatcher_module.Reservation)
         self.assertFalse(found.leased)
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -17,11 +17,11 @@
 STABLE_SECONDS = 3.0
 """After which a store that is back, and an instance, count as well."""
 
-TRIP_SECONDS = 0.004
+ROUND_TRIP_SECONDS = 0.004
 """An answer of a store that is well takes so long."""
 
 
-class AwayStore:
+class UnavailableStore:
     """A store that answers nobody for a while, on the paused clock.
 
     A question that is asked meanwhile stays without an answer for good,
@@ -49,7 +49,7 @@
         if start <= self._ticker.now() < end:
             self._ticker.advance(wait + follower_module.ANSWER_SECONDS)
             return result.Err("no answer in time")
-        self._ticker.advance(TRIP_SECONDS)
+        self._ticker.advance(ROUND_TRIP_SECONDS)
         return answer()
 
     def _wait(self, revision, wait):
@@ -76,13 +76,13 @@
     give up in step when the store falls silent.
     """
 
-    def find_delay(self, away_seconds, away_from=103.0):
+    def measure_delay(self, away_seconds, away_from=103.0):
         """Return the time from the store's return to the change, seconds."""
         ticker = clock.ManualClock(100.0)
         back_at = away_from + away_seconds
         known = {}
         follower = follower_module.Follower(
-            AwayStore(ticker, away_from, back_at),
+            UnavailableStore(ticker, away_from, back_at),
             mirror_module.Mirror(),
             ticker,
             lambda items: known.update({items[0].revision: ticker.now()}),
@@ -105,7 +105,7 @@
         """
         self.patch(random, "uniform", lambda low, high: high)
         delays = {
-            tenths / 10: self.find_delay(tenths / 10)
+            tenths / 10: self.measure_delay(tenths / 10)
             for tenths in range(5, 150)
         }
         late = {a: d for a, d in delays.items() if d > APPLY_SECONDS}
@@ -121,7 +121,7 @@
         late = {}
         for start in range(0, 40):
             for tenths in range(1, 40):
-                delay = self.find_delay(tenths / 10, 102.0 + start / 20)
+                delay = self.measure_delay(tenths / 10, 102.0 + start / 20)
                 if delay > STABLE_SECONDS:
                     late[start, tenths] = delay
         self.assertEqual({}, late)
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -46,8 +46,8 @@
         budget = retries.RetryBudget(1.0, 100.0)
         self.suspects = suspects.Suspects()
         room = self.room
-        self.parts = jobs.Parts(
-            room.world,
+        self.context = jobs.RelayContext(
+            room.cluster_state,
             room.dispatcher,
             room.board,
             room.health,
@@ -68,7 +68,7 @@
             service=PLAIN,
             method="POST",
             target="/review/1?a=b",
-            fields={
+            headers={
                 "host": "review.example",
                 "x-attempt-id": "id-1",
                 "x-api-key": "secret",
@@ -85,7 +85,7 @@
             units=1.0,
             version=1,
         )
-        self.sender = sender.Sender(self.parts, job)
+        self.sender = sender.Sender(self.context, job)
         self.body = b""
         for piece in self.sender.answer(self.start):
             self.body += piece
@@ -119,7 +119,7 @@
         self.assertEqual(200, self.ask())
         self.assertEqual(1, len(bad.requests) + len(good.requests) - 1)
 
-    def test_both_fail_and_the_caller_gets_the_endpoints_word(self):
+    def test_both_fail_and_the_caller_gets_the_endpoints_answer(self):
         """No third endpoint may run it: the signed failure is passed on."""
         bad = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         worse = fakes.Endpoint(self, fakes.answer(500, b"broken"))
@@ -136,7 +136,7 @@
         The endpoint may have run the request, so that the caller hears
         "outcome unknown" and no other endpoint gets it.
         """
-        first = fakes.Endpoint(self, fakes.hang_up)
+        first = fakes.Endpoint(self, fakes.close_unanswered)
         second = fakes.Endpoint(self, fakes.answer())
         self.prepare(
             first,
@@ -214,7 +214,7 @@
 
     def test_silent_endpoint_ends_with_the_deadline(self):
         """The final answer comes at the deadline, not later."""
-        endpoint = fakes.Endpoint(self, fakes.say_nothing)
+        endpoint = fakes.Endpoint(self, fakes.never_answer)
         self.prepare(endpoint, timeout=0.1)
         began = self.room.ticker.now()
         self.assertEqual(504, self.ask())
@@ -325,12 +325,12 @@
         self.assertTrue(closed.wait(1))
         self.assertEqual(0, self.room.board.get_load("e0").requests)
 
-    def test_endpoint_that_leaves_meanwhile_gets_nothing(self):
+    def test_endpoint_that_leaves_during_the_connect_gets_nothing(self):
         """Its entry goes while the connection comes about."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint, objective=0.05)
-        world = self.room.world
-        world.may_use = lambda endpoint: False
+        cluster_state = self.room.cluster_state
+        cluster_state.may_use = lambda endpoint: False
         self.assertEqual(503, self.ask())
         self.assertEqual([], endpoint.requests)
         self.assertEqual(
@@ -341,7 +341,7 @@
         """Return whether the request of these tests is barred."""
         return self.suspects.is_barred("f1", self.room.ticker.now())
 
-    def end_others(self, number):
+    def crash_others(self, number):
         """Let endpoints that this instance never sees end under it."""
         for each in range(number):
             self.suspects.note_end(
@@ -354,7 +354,7 @@
         """Guards against one more end for each caller's repeat."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
-        self.end_others(suspects.MAX_ENDS)
+        self.crash_others(suspects.MAX_ENDS)
         self.assertEqual(503, self.ask())
         self.assertEqual(
             suspects.KEEP_SECONDS, float(self.started[-1][1]["retry-after"])
@@ -365,11 +365,11 @@
 
     def test_request_barred_by_its_own_end_is_not_sent_again(self):
         """Guards against a repeat within the attempt that ended the third."""
-        ending = fakes.Endpoint(self, fakes.hang_up)
+        ending = fakes.Endpoint(self, fakes.close_unanswered)
         other = fakes.Endpoint(self, fakes.answer())
         self.prepare(ending, other)
         self.room.health.note_answer("e1", False, self.room.ticker.now())
-        self.end_others(suspects.MAX_ENDS - 1)
+        self.crash_others(suspects.MAX_ENDS - 1)
         self.assertEqual(502, self.ask())
         self.assertEqual(0, len(other.requests))
 
@@ -377,14 +377,14 @@
         """Guards against news that come between the choice and the send."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
-        world = self.room.world
-        may_use = world.may_use
+        cluster_state = self.room.cluster_state
+        may_use = cluster_state.may_use
 
         def hear(endpoint):
-            self.end_others(suspects.MAX_ENDS)
+            self.crash_others(suspects.MAX_ENDS)
             return may_use(endpoint)
 
-        world.may_use = hear
+        cluster_state.may_use = hear
         self.assertEqual(503, self.ask())
         self.assertEqual(0, len(endpoint.requests))
 
@@ -392,16 +392,16 @@
         """Guards against a bar for failures that an endpoint tells."""
         bad = fakes.Endpoint(self, fakes.answer(500))
         self.prepare(bad)
-        self.end_others(suspects.MAX_ENDS - 1)
+        self.crash_others(suspects.MAX_ENDS - 1)
         self.assertEqual(500, self.ask())
         self.assertFalse(self.is_barred())
 
     def test_endpoint_gone_without_a_reset_counts(self):
         """Guards against an end whose reset is lost on its way."""
-        endpoint = fakes.Endpoint(self, fakes.say_nothing)
+        endpoint = fakes.Endpoint(self, fakes.never_answer)
         self.prepare(endpoint, timeout=0.1)
-        self.end_others(suspects.MAX_ENDS - 1)
-        gevent.spawn_later(0.05, self.room.world.endpoints.clear)
+        self.crash_others(suspects.MAX_ENDS - 1)
+        gevent.spawn_later(0.05, self.room.cluster_state.endpoints.clear)
         self.assertEqual(504, self.ask())
         self.assertTrue(self.is_barred())
 
@@ -409,7 +409,7 @@
         """Guards against a limit that only refusals name."""
         endpoint = fakes.Endpoint(self)
         self.prepare(endpoint, repeat=models.Repeat.NON_IDEMPOTENT)
-        kicker = gevent.spawn(self.room.dispatcher.kick_again_and_again)
+        kicker = gevent.spawn(self.room.dispatcher.run_match_loop)
         self.addCleanup(kicker.kill)
         for script, rate in (
             (fakes.answer(503, X_Not_Executed="1", Server_Limit="2.5"), 2.5),
@@ -427,6 +427,6 @@
     def test_ids(self):
         """The last id counts, wherever it stands."""
         both = fakes.make_event(7) + fakes.make_event(8)
-        self.assertEqual("8", sender.find_last_event(both))
-        self.assertEqual("7", sender.find_last_event(fakes.make_event(7)))
-        self.assertIsNone(sender.find_last_event(b"data: x\n\n"))
+        self.assertEqual("8", sender.find_last_event_id(both))
+        self.assertEqual("7", sender.find_last_event_id(fakes.make_event(7)))
+        self.assertIsNone(sender.find_last_event_id(b"data: x\n\n"))
