--- a/citronport/platform/models.py
+++ b/citronport/platform/models.py
@@ -15,9 +15,9 @@
 _MILLISECONDS = 1000.0
 
 _REPEATS = {
-    "idempotent": models.Repeat.IDEMPOTENT,
-    "non_idempotent": models.Repeat.NON_IDEMPOTENT,
-    "streaming": models.Repeat.STREAM,
+    "idempotent": models.RepeatPolicy.IDEMPOTENT,
+    "non_idempotent": models.RepeatPolicy.NON_IDEMPOTENT,
+    "streaming": models.RepeatPolicy.STREAM,
 }
 
 
--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -119,7 +119,7 @@
         finally:
             self.running -= 1
             if job.workspace and request_sender.progress.is_known_not_run:
-                self._quotas.give_back(job.workspace, job.units)
+                self._quotas.refund(job.workspace, job.units)
 
     def _check(
         self, environ: Environ, body: bytes, arrived: float
--- a/citronport/relay/cluster_state.py
+++ b/citronport/relay/cluster_state.py
@@ -11,7 +11,7 @@
 from citronport.platform import models as wire
 from citronport.relay import eventlog
 from citronport.relay import events
-from citronport.scheduler.direct import cold
+from citronport.scheduler.direct import cold_starts as cold_starts_module
 from citronport.scheduler.direct import models
 from citronport.scheduler.direct import routing
 
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        cold_starts: cold.ColdStarts,
+        cold_starts: cold_starts_module.ColdStarts,
         forget: collections.abc.Callable[[str], None],
         log: eventlog.Log,
     ) -> None:
@@ -112,7 +112,7 @@
         known = self.endpoints.get(endpoint.name)
         return (
             known is not None
-            and known.start == endpoint.start
+            and known.start_id == endpoint.start_id
             and not known.leaving
             and known.data_centre not in self.evacuated
         )
@@ -205,12 +205,12 @@
         self, endpoint: models.Endpoint, revision: int, now: float
     ) -> None:
         known = self.endpoints.get(endpoint.name)
-        if known is not None and known.start != endpoint.start:
+        if known is not None and known.start_id != endpoint.start_id:
             self._drop(endpoint.name)
         self._lapsing.pop(endpoint.name, None)
         self.endpoints[endpoint.name] = endpoint
-        if endpoint.start not in self._starts:
-            self._starts[endpoint.start] = None
+        if endpoint.start_id not in self._starts:
+            self._starts[endpoint.start_id] = None
             if len(self._starts) > MAX_REMEMBERED_STARTS:
                 self._starts.popitem(last=False)
             if self._is_loaded:
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -35,12 +35,12 @@
 from citronport.relay import reports
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import quota
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 from citronport.scheduler.direct import retries
 from citronport.scheduler.direct import suspects as suspects_module
 
@@ -90,11 +90,11 @@
         self._started = ticker.now()
         self.counts = metrics.Counts()
         self._stopped = gevent_event.Event()
-        self.board = board_module.Board()
+        self.board = load_tracker.LoadTracker()
         self.health = health_module.Health()
-        self.cold = cold_module.ColdStarts()
+        self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
-        self.suspects = suspects_module.Suspects()
+        self.suspects = suspects_module.SuspectRequests()
         self.quotas = quota.Quotas(
             settings.bounds.limit_over,
             settings.bounds.limit_slack,
@@ -295,7 +295,7 @@
             capacities[str(own.callers)] = own.capacity
         return tuple(
             sorted(
-                ranking.choose_by_weight(
+                rendezvous.choose_by_weight(
                     caller, capacities, store_const.LOOKUP_ADDRESSES
                 )
             )
@@ -354,7 +354,7 @@
             self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
             self.cluster_state.sweep(self._ticker.now())
             self.leasing.lease_server.sweep()
-            self.suspects.sweep(self._ticker.now())
+            self.suspects.remove_expired(self._ticker.now())
             self.is_ready()
 
     def _watch_settings(self) -> None:
@@ -429,7 +429,7 @@
                 self.cold.is_cold(name, now)
                 for name in self.cluster_state.endpoints
             ),
-            limited=self.limits.count(),
+            limited=self.limits.count_limited(),
             leases=len(self.leasing.leases),
             barred=self.suspects.count_barred(),
             lines_dropped=sum(self._log.dropped.values()),
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -13,16 +13,16 @@
 from citronport.relay import membership as membership_module
 from citronport.relay import messages
 from citronport.relay import owners as owners_module
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
 from citronport.scheduler.direct import quota
+from citronport.scheduler.direct import roles
 from citronport.scheduler.direct import runs
 from citronport.scheduler.direct import selection
-from citronport.scheduler.direct import shares
-from citronport.scheduler.direct import waiting
+from citronport.scheduler.direct import wait_queue
 
 MATCH_INTERVAL_SECONDS = 0.025
 """Pause between two looks at waiting requests when nothing else happens: a
@@ -50,7 +50,7 @@
         leased: whether another instance handed it out.
     """
 
-    place: selection.Place
+    place: selection.Placement
     run: runs.Run
     load: int
     pace: float
@@ -85,9 +85,9 @@
         own: str,
         cluster_state: cluster_state_module.ClusterState,
         members: membership_module.Membership,
-        board: board_module.Board,
+        board: load_tracker.LoadTracker,
         health: health_module.Health,
-        cold: cold_module.ColdStarts,
+        cold: cold_starts.ColdStarts,
         limits: endpoint_limits.EndpointLimits,
         ticker: clock.Clock,
     ) -> None:
@@ -100,9 +100,9 @@
         self._limits = limits
         self._ticker = ticker
         self._selector = selection.Selector(board, health, cold, limits)
-        self._queues: dict[str, waiting.Queue] = {}
+        self._queues: dict[str, wait_queue.WaitQueue] = {}
         self._match_scheduled = False
-        self._share: shares.Share = shares.Sender(own, (own,))
+        self._share: roles.Role = roles.Sender(own, (own,))
         self._share_until = float("-inf")
         self._instance_count = 1
         self._is_majority = False
@@ -118,8 +118,8 @@
             return found
         now = self._ticker.now()
         woken: gevent_event.AsyncResult = gevent_event.AsyncResult()
-        waiter = waiting.Waiter(
-            work=work, since=now, tried=tried, handle=woken
+        waiter = wait_queue.Waiter(
+            work=work, waiting_since=now, tried=tried, handle=woken
         )
         pause = self.enqueue(waiter, service)
         if pause is not None:
@@ -127,12 +127,12 @@
         try:
             # Not "get": its timeout could not be told from the one for
             # the whole request, which has to end the request.
-            woken.wait(timeout=waiting.compute_patience(work, now))
+            woken.wait(timeout=wait_queue.compute_max_wait(work, now))
         finally:
             self.cancel(waiter, service)
         return woken.value or self._refuse(work, service)
 
-    def enqueue(self, waiter: waiting.Waiter, service: str) -> float | None:
+    def enqueue(self, waiter: wait_queue.Waiter, service: str) -> float | None:
         """Give a request a place at once, or let it wait for one.
 
         Returns:
@@ -141,22 +141,27 @@
         """
         queue = self._queues.get(service)
         if queue is None:
-            queue = waiting.Queue(
+            queue = wait_queue.WaitQueue(
                 lambda w: self._estimate_first_event(w, service)
             )
             self._queues[service] = queue
         queue.add(waiter)
         self._match_queue(service, queue)
-        if not queue.holds(waiter):
+        if not queue.contains(waiter):
             return None
         wait = self._forecast_wait(waiter, service, queue)
-        if wait <= waiting.compute_patience(waiter.work, waiter.since):
+        if wait <= wait_queue.compute_max_wait(
+            waiter.work, waiter.waiting_since
+        ):
             return None
         queue.remove(waiter)
         return wait
 
     def _forecast_wait(
-        self, waiter: waiting.Waiter, service: str, queue: waiting.Queue
+        self,
+        waiter: wait_queue.Waiter,
+        service: str,
+        queue: wait_queue.WaitQueue,
     ) -> float:
         now = self._ticker.now()
         configuration = self._cluster_state.configuration
@@ -165,10 +170,10 @@
         if not known or not endpoints:
             # Nothing is known that a forecast could go by.
             return 0.0
-        places = self._selector.compute_places(known, endpoints)
-        return queue.forecast(waiter, places, now)
+        places = self._selector.compute_slot_rate(known, endpoints)
+        return queue.estimate_wait(waiter, places, now)
 
-    def cancel(self, waiter: waiting.Waiter, service: str) -> None:
+    def cancel(self, waiter: wait_queue.Waiter, service: str) -> None:
         """Take a request out that waits no longer."""
         self._queues[service].remove(waiter)
 
@@ -186,7 +191,7 @@
                 reservation.endpoint.name, reservation.run
             )
             return
-        self._board.note_end(
+        self._board.record_end(
             reservation.endpoint.name, request_id, self._ticker.now()
         )
         self.schedule_match()
@@ -243,17 +248,17 @@
     ) -> Reservation | None:
         name = granted.endpoint
         now = self._ticker.now()
-        run = self._board.note_leased(name, work, now)
+        run = self._board.record_leased_send(name, work, now)
         endpoint = self._cluster_state.endpoints.get(name)
         if endpoint is None:
             # The owner is ahead with the store's news, or behind: this
             # instance knows no address for the name.
             lease_client.release(name, run)
             return None
-        self._cold.note_send(name, now)
-        self._limits.note_send(name)
-        self._health.note_send(name)
-        place = selection.Place(
+        self._cold.record_send(name, now)
+        self._limits.record_send(name)
+        self._health.record_send(name)
+        place = selection.Placement(
             endpoint=endpoint, seconds=granted.seconds, cost=granted.seconds
         )
         return Reservation(
@@ -264,7 +269,7 @@
             leased=True,
         )
 
-    def _match_queue(self, service: str, queue: waiting.Queue) -> None:
+    def _match_queue(self, service: str, queue: wait_queue.WaitQueue) -> None:
         now = self._ticker.now()
         configuration = self._cluster_state.configuration
         known = configuration and configuration.services.get(service)
@@ -274,7 +279,7 @@
         if not view.endpoints:
             return
 
-        def choose(waiter: waiting.Waiter) -> Reservation | None:
+        def choose(waiter: wait_queue.Waiter) -> Reservation | None:
             return self._reserve(waiter, known, view, now)
 
         matched = queue.match(choose, now, lambda: not view.endpoints)
@@ -286,7 +291,7 @@
     ) -> "_ServiceView":
         """Return what may be chosen now, for all that wait."""
         endpoints = self._cluster_state.list_endpoints(service.name)
-        sample_size = selection.count_candidates(
+        sample_size = selection.compute_sample_size(
             len(endpoints), self._instance_count
         )
         share = self._get_share(now)
@@ -301,14 +306,14 @@
             # before handed out in this second, and one without a majority
             # in reach may not be the only one.
             if (
-                owned_seconds > cold_module.WINDOW_SECONDS
+                owned_seconds > cold_starts.WINDOW_SECONDS
                 and self._is_majority
             ):
-                share = shares.Owner()
+                share = roles.Owner()
         usable = [
             e
             for e in endpoints
-            if self._selector.has_room(e, service, share, now)
+            if self._selector.has_capacity(e, service, share, now)
         ]
         return _ServiceView(
             endpoints=usable,
@@ -322,13 +327,15 @@
         if not work.prompt_tokens:
             return 0.0
         profile = self._board.profiles.get(service)
-        step = self._board.get_typical_pace() * runs.PACE_SECONDS
-        return step * (profile.begin + profile.read * work.prompt_tokens)
+        step = self._board.get_typical_step_ms() * runs.SECONDS_PER_MS
+        return step * (
+            profile.base_steps + profile.steps_per_token * work.prompt_tokens
+        )
 
-    def _get_share(self, now: float) -> shares.Share:
+    def _get_share(self, now: float) -> roles.Role:
         if now >= self._share_until:
             instances = self._members.list_known(now)
-            self._share = shares.Sender(self._own, instances)
+            self._share = roles.Sender(self._own, instances)
             self._share_until = now + SHARE_CACHE_SECONDS
             self._instance_count = len(instances)
             self._is_majority = (
@@ -338,7 +345,7 @@
 
     def _reserve(
         self,
-        waiter: waiting.Waiter,
+        waiter: wait_queue.Waiter,
         service: models.Service,
         view: "_ServiceView",
         now: float,
@@ -352,14 +359,14 @@
         if place is None:
             return None
         name = place.endpoint.name
-        self._cold.note_send(name, now)
-        self._limits.note_send(name)
-        self._health.note_send(name)
+        self._cold.record_send(name, now)
+        self._limits.record_send(name)
+        self._health.record_send(name)
         is_free = self._board.count_requests(name) < place.endpoint.slots
-        run = self._board.note_sent(
+        run = self._board.record_send(
             name, waiter.work, now, service.name if is_free else ""
         )
-        if not self._selector.has_room(
+        if not self._selector.has_capacity(
             place.endpoint, service, view.share, now
         ):
             view.endpoints.remove(place.endpoint)
@@ -367,7 +374,7 @@
             place=place,
             run=run,
             load=self._board.get_load(name).requests,
-            pace=self._board.get_pace(name),
+            pace=self._board.get_step_ms(name),
         )
 
     def _refuse(
@@ -379,7 +386,7 @@
         # Most callers come back once: no sooner than a place may be free.
         # Spread by chance: those that are refused in one burst would else
         # come back in one.
-        pause = max(pause, waiting.RETRY_SECONDS)
+        pause = max(pause, wait_queue.MIN_RETRY_AFTER_SECONDS)
         longest = MAX_RETRY_SHARE * left
         return errors.Refusal(
             code=code,
@@ -402,5 +409,5 @@
 
     endpoints: list[models.Endpoint]
     listed: frozenset[str]
-    share: shares.Share
+    share: roles.Role
     sample_size: int
--- a/citronport/relay/fleet.py
+++ b/citronport/relay/fleet.py
@@ -16,7 +16,7 @@
 from citronport.relay import messages
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries as summaries_module
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
 LOG = "fleet:"
 
@@ -271,7 +271,9 @@
             if instance in readers:
                 continue
             address = self._members.get_address(instance)
-            if address and own in ranking.choose(instance, readers, TELLERS):
+            if address and own in rendezvous.choose(
+                instance, readers, TELLERS
+            ):
                 self._put(data, address)
 
     def _note_reach(self) -> None:
--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -13,7 +13,7 @@
 from citronport.relay import events
 from citronport.relay import membership
 from citronport.relay import mirror as mirror_module
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
 WATCH_SECONDS = 2.0
 """How long the store holds a watch. A connection that has gone silent shows
@@ -70,7 +70,7 @@
     """Return the instances that watch the store."""
     if len(instances) < membership.LARGE_FLEET:
         return instances
-    return ranking.choose("store", instances, READERS)
+    return rendezvous.choose("store", instances, READERS)
 
 
 def rest(
--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -9,9 +9,9 @@
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import metrics
-from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
 from citronport.scheduler.direct import retries
 from citronport.scheduler.direct import suspects as suspects_module
@@ -67,10 +67,10 @@
         self,
         cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
-        board: board_module.Board,
+        board: load_tracker.LoadTracker,
         health: health_module.Health,
         limits: endpoint_limits.EndpointLimits,
-        suspects: suspects_module.Suspects,
+        suspects: suspects_module.SuspectRequests,
         ticker: clock.Clock,
         log: eventlog.Log,
         counts: metrics.Counts,
--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -10,11 +10,11 @@
 from citronport.relay import events
 from citronport.relay import messages
 from citronport.relay import owners as owners_module
-from citronport.scheduler.direct import board as board_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
 from citronport.scheduler.direct import ownership
 from citronport.scheduler.direct import runs
-from citronport.scheduler.direct import waiting
+from citronport.scheduler.direct import wait_queue
 
 ANSWER_TIMEOUT_SECONDS = 0.06
 """How long an answer may stay out: two links of a millisecond, and an owner
@@ -61,7 +61,7 @@
         self,
         own: str,
         owners: owners_module.Owners,
-        board: board_module.Board,
+        board: load_tracker.LoadTracker,
         tell: messages.Tell,
         ticker: clock.Clock,
         log: eventlog.Log,
@@ -136,7 +136,7 @@
 
     def release(self, endpoint: str, run: runs.Run) -> None:
         """Give a place back, with what was seen of the endpoint."""
-        self._board.note_lease_end(endpoint, run.request_id)
+        self._board.record_leased_end(endpoint, run.request_id)
         grant = self._grants.pop((run.request_id, endpoint), None)
         if grant is None:
             return
@@ -156,7 +156,7 @@
                 self._owners.find_endpoint_owner(grant[0], endpoint, now)
                 or grant[1]
             )
-            unread = run.prompt_tokens if run.first is None else 0
+            unread = run.prompt_tokens if run.first_event_at is None else 0
             held.setdefault(owner, []).append(
                 (run.request_id, endpoint, unread)
             )
@@ -188,7 +188,7 @@
         answers: gevent_queue.SimpleQueue,
     ) -> Answer | None:
         now = self._ticker.now()
-        end = now + waiting.compute_patience(work, now)
+        end = now + wait_queue.compute_max_wait(work, now)
         unanswered = 0
         while (now := self._ticker.now()) < end:
             self._tell(owner, self._make_ask(work, service, tried, now))
@@ -267,13 +267,15 @@
         endpoint: str,
         run: runs.Run | None = None,
     ) -> messages.Ended:
-        pace = self._board.get_own_pace(endpoint) or 0.0
+        pace = self._board.get_own_step_ms(endpoint) or 0.0
         return messages.Ended(
             protocol=messages.PROTOCOL,
             instance=self._own,
             request=request_id,
             endpoint=endpoint,
             verdict=int(run.verdict if run else runs.Verdict.NOTHING),
-            pace=int(pace * 1e6) if run and run.first is not None else 0,
-            seconds=run.taken if run else 0.0,
+            pace=int(pace * 1e6)
+            if run and run.first_event_at is not None
+            else 0,
+            seconds=run.answer_seconds if run else 0.0,
         )
--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -9,12 +9,12 @@
 from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import messages
-from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import health as health_module
 from citronport.scheduler.direct import leases as leases_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
 from citronport.scheduler.direct import runs
-from citronport.scheduler.direct import waiting
+from citronport.scheduler.direct import wait_queue
 
 LOG = "lessor:"
 
@@ -39,7 +39,7 @@
     grant: collections.abc.Callable[
         ["_RemoteRequest", dispatcher_module.Reservation], None
     ]
-    waiter: waiting.Waiter | None = None
+    waiter: wait_queue.Waiter | None = None
 
     def set(self, reservation: dispatcher_module.Reservation) -> None:
         """Take a place, as the queue's match gives it."""
@@ -66,7 +66,7 @@
         dispatcher: dispatcher_module.Dispatcher,
         leases: leases_module.Leases,
         cluster_state: cluster_state_module.ClusterState,
-        board: board_module.Board,
+        board: load_tracker.LoadTracker,
         health: health_module.Health,
         tell: messages.Tell,
         ticker: clock.Clock,
@@ -110,7 +110,9 @@
 
     def handle_begun(self, begun: messages.Begun) -> None:
         """Note the first event of a request."""
-        self._leases.begin(begun.request, begun.endpoint, self._ticker.now())
+        self._leases.record_first_event(
+            begun.request, begun.endpoint, self._ticker.now()
+        )
 
     def handle_ended(self, ended: messages.Ended) -> None:
         """Take a place back, or a request out of the queue."""
@@ -126,8 +128,8 @@
     def handle_holding(self, holding: messages.Holding) -> None:
         """Take what an instance holds of this one."""
         held = [
-            leases_module.Held(
-                request_id=request, endpoint=endpoint, unread=unread
+            leases_module.HeldLease(
+                request_id=request, endpoint=endpoint, prefill_tokens=unread
             )
             for request, endpoint, unread in holding.leases
         ]
@@ -140,7 +142,7 @@
         for request, remote in list(self._remote_requests.items()):
             if now - remote.last_asked > REMOTE_REQUEST_EXPIRY_SECONDS:
                 self._cancel(request)
-        self._leases.sweep(now)
+        self._leases.remove_expired(now)
         for request, granted in list(self._granted.items()):
             if not self._leases.has(request, granted.endpoint):
                 del self._granted[request]
@@ -148,9 +150,9 @@
     def _enqueue(
         self, remote: _RemoteRequest, work: models.Work, now: float
     ) -> float | None:
-        waiter = waiting.Waiter(
+        waiter = wait_queue.Waiter(
             work=work,
-            since=now,
+            waiting_since=now,
             tried=frozenset(remote.ask.tried),
             handle=remote,
             leased=True,
@@ -183,7 +185,7 @@
             endpoint=name,
             seconds=reservation.place.seconds,
             load=self._board.get_load(name).requests,
-            pace=int(self._board.get_pace(name) * 1e6),
+            pace=int(self._board.get_step_ms(name) * 1e6),
         )
         self._granted[ask.request] = granted
         self._tell(ask.instance, granted)
@@ -194,7 +196,7 @@
             self._dispatcher.cancel(remote.waiter, remote.ask.service)
         granted = self._granted.pop(request, None)
         if granted is not None:
-            self._health.note_unsent(granted.endpoint)
+            self._health.record_no_result(granted.endpoint)
             self._leases.end(request, granted.endpoint)
             self._dispatcher.schedule_match()
 
@@ -203,18 +205,18 @@
         if name not in self._cluster_state.endpoints:
             return
         if ended.pace:
-            self._board.hear_pace(ended.instance, name, ended.pace / 1e6)
+            self._board.apply_step_ms(ended.instance, name, ended.pace / 1e6)
         if ended.seconds:
-            self._board.note_taken(name, ended.seconds)
+            self._board.record_answer_seconds(name, ended.seconds)
         match ended.verdict:
             case runs.Verdict.GOOD:
-                self._health.note_answer(name, True, now)
+                self._health.record_answer(name, True, now)
             case runs.Verdict.FAILED:
-                self._health.note_answer(name, False, now)
+                self._health.record_answer(name, False, now)
             case runs.Verdict.UNREACHABLE:
-                self._health.note_unreachable(name, now)
+                self._health.record_unreachable(name, now)
             case _:
-                self._health.note_unsent(name)
+                self._health.record_no_result(name)
 
     def _decline(self, ask: messages.Ask) -> None:
         logging.warning(
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -13,9 +13,9 @@
 from citronport.relay import membership as membership_module
 from citronport.relay import messages
 from citronport.relay import owners as owners_module
-from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import health as health_module
 from citronport.scheduler.direct import leases as leases_module
+from citronport.scheduler.direct import load_tracker
 
 
 class Leasing:
@@ -48,7 +48,7 @@
         members: membership_module.Membership,
         cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
-        board: board_module.Board,
+        board: load_tracker.LoadTracker,
         health: health_module.Health,
         is_ready: collections.abc.Callable[[], bool],
         tell: messages.Tell,
@@ -111,5 +111,5 @@
     def run_renewal_loop(self) -> None:
         """Tell owners what this instance holds, for ever."""
         while True:
-            self._ticker.sleep(leases_module.RENEW_SECONDS)
+            self._ticker.sleep(leases_module.RENEW_INTERVAL_SECONDS)
             self.lease_client.renew()
--- a/citronport/relay/limits.py
+++ b/citronport/relay/limits.py
@@ -27,7 +27,7 @@
                 return
             case result.Ok(rate):
                 pass
-    if context.limits.note_answer(endpoint, rate, context.ticker.now()):
+    if context.limits.record_limit(endpoint, rate, context.ticker.now()):
         context.log.write(
             events.EndpointLimited(
                 endpoint=endpoint, rate=-1.0 if rate is None else rate
--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -5,7 +5,7 @@
 import random
 
 from citronport.relay import messages
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
 FRESH_SECONDS = 1.0
 """Age up to which a report counts for shared limits and loads: several
@@ -308,7 +308,7 @@
         places = {m.data_centre for m in self._members.values()}
         targets = []
         for place in sorted(places - {self._data_centre}):
-            if self._own in ranking.choose(place, names, ENVOYS):
+            if self._own in rendezvous.choose(place, names, ENVOYS):
                 targets += self._choose_target(place, now)
         return targets
 
--- a/citronport/relay/owners.py
+++ b/citronport/relay/owners.py
@@ -111,7 +111,10 @@
             self._owners.clear()
 
     def _list_candidates(self, now: float) -> tuple[ownership.Candidate, ...]:
-        if len(self._members.list_known(now)) < ownership.MIN_INSTANCES:
+        if (
+            len(self._members.list_known(now))
+            < ownership.MIN_LEASING_INSTANCES
+        ):
             return ()
         found = [
             ownership.Candidate(instance=r.instance, capacity=r.capacity)
--- a/citronport/relay/reports.py
+++ b/citronport/relay/reports.py
@@ -8,8 +8,8 @@
 from citronport.relay import messages
 from citronport.relay import mirror as mirror_module
 from citronport.relay import settings as settings_module
-from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import endpoint_limits
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import profiles as profiles_module
 from citronport.scheduler.direct import quota
 from citronport.scheduler.direct import suspects as suspects_module
@@ -38,9 +38,9 @@
         settings: settings_module.Settings,
         incarnation: str,
         members: membership.Membership,
-        board: board_module.Board,
+        board: load_tracker.LoadTracker,
         quotas: quota.Quotas,
-        suspects: suspects_module.Suspects,
+        suspects: suspects_module.SuspectRequests,
         limits: endpoint_limits.EndpointLimits,
         mirror: mirror_module.Mirror,
         follower: follower_module.Follower,
@@ -76,11 +76,11 @@
         settings = self._settings
         self._number += 1
         fresh = self._members.list_fresh(now)
-        self._board.drop_silent({r.instance for r in fresh})
+        self._board.drop_stale({r.instance for r in fresh})
         idle_rows = (
-            board_module.LEASED_IDLE_ROWS
+            load_tracker.LEASING_IDLE_ROWS_PER_REPORT
             if self._members.is_large()
-            else board_module.MAX_IDLE_ROWS
+            else load_tracker.MAX_IDLE_ROWS_PER_REPORT
         )
         return messages.Report(
             protocol=messages.PROTOCOL,
@@ -100,11 +100,11 @@
                 else now - self._follower.answered
             ),
             passed=self._quotas.get_totals(),
-            loads=self._board.list_own(idle_rows),
-            profiles=self._board.profiles.list_learnt(),
+            loads=self._board.make_report_rows(idle_rows),
+            profiles=self._board.profiles.make_report_rows(),
             members=self._members.list_members(now, data_centre),
-            suspects=self._suspects.list_told(now),
-            limits=self._limits.list_told(now),
+            suspects=self._suspects.list_updates(now),
+            limits=self._limits.list_updates(now),
         )
 
     def take(self, report: messages.Report) -> None:
@@ -113,14 +113,18 @@
             # What it let pass comes with the sums of its data centre.
             return
         now = self._ticker.now()
-        self._board.hear(report.instance, [tuple(row) for row in report.loads])
+        self._board.apply_report(
+            report.instance, [tuple(row) for row in report.loads]
+        )
         for service, begin, read, stay in report.profiles:
-            self._board.profiles.hear(
+            self._board.profiles.set_remote(
                 service,
-                profiles_module.Profile(begin=begin, read=read, stay=stay),
+                profiles_module.Profile(
+                    base_steps=begin, steps_per_token=read, total_steps=stay
+                ),
             )
-        self._quotas.hear(
+        self._quotas.apply_totals(
             report.instance, report.incarnation, report.passed, now
         )
-        self._suspects.hear(report.suspects, now)
-        self._limits.hear(report.limits, now)
+        self._suspects.apply_updates(report.suspects, now)
+        self._limits.apply_updates(report.limits, now)
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -185,7 +185,7 @@
         if self._is_barred():
             return upstream.Barred()
         if self.progress.attempts == 1:
-            self._context.get_retry_budget(self._job.service).note_first(now)
+            self._context.get_retry_budget(self._job.service).record_first(now)
         progress_module.record_sent(
             self._context, self._job, self.progress, reservation
         )
@@ -209,7 +209,7 @@
         start_response: replies.StartResponse,
         answer: requests.EndpointAnswer,
     ) -> collections.abc.Iterator[bytes]:
-        is_stream = self._work.route.repeat == models.Repeat.STREAM
+        is_stream = self._work.route.repeat == models.RepeatPolicy.STREAM
         if is_stream and is_success(answer):
             yield from self._forward_stream(start_response, answer)
             return
@@ -230,7 +230,7 @@
         now = self._context.ticker.now()
         good = answer.status < 500
         self._record_health(good, now)
-        self._context.board.note_answer(
+        self._context.board.record_answer(
             self._reservation.endpoint.name, self._reservation.run, now
         )
         headers = list(answer.headers)
@@ -274,7 +274,7 @@
         reservation = self._reservation
         assert reservation is not None
         now = self._context.ticker.now()
-        if reservation.run.first is None:
+        if reservation.run.first_event_at is None:
             self._record_health(True, now)
             self._context.dispatcher.record_first_event(reservation)
         configuration = self._context.cluster_state.configuration
@@ -282,7 +282,7 @@
             self._job.service
         )
         engine = service.engine if service else None
-        self._context.board.note_events(
+        self._context.board.record_events(
             reservation.endpoint.name,
             reservation.run,
             events.count(EVENT_END),
@@ -344,9 +344,9 @@
     def _may_run_again(self) -> bool:
         """Return whether a request that may have run may go elsewhere."""
         route = self._work.route
-        if route.repeat == models.Repeat.NON_IDEMPOTENT:
+        if route.repeat == models.RepeatPolicy.NON_IDEMPOTENT:
             return False
-        if route.repeat == models.Repeat.STREAM and not route.resumable:
+        if route.repeat == models.RepeatPolicy.STREAM and not route.resumable:
             return False
         if (
             self.progress.possible_runs >= route.max_endpoints
@@ -372,7 +372,7 @@
             code=errors.Code.OVERLOADED,
             retry_after=min(
                 dispatcher_module.MAX_RETRY_SHARE * left,
-                dispatcher_module.waiting.RETRY_SECONDS,
+                dispatcher_module.wait_queue.MIN_RETRY_AFTER_SECONDS,
             ),
         )
 
@@ -402,9 +402,9 @@
         if self._reservation is not None:
             reservation, self._reservation = self._reservation, None
             self.progress.longest = max(
-                self.progress.longest, reservation.run.longest
+                self.progress.longest, reservation.run.longest_gap
             )
-            self._context.health.note_unsent(reservation.endpoint.name)
+            self._context.health.record_no_result(reservation.endpoint.name)
             self._context.dispatcher.release(
                 reservation, self._work.request_id
             )
@@ -412,7 +412,7 @@
     def _record_health(self, good: bool, now: float) -> None:
         assert self._reservation is not None
         name = self._reservation.endpoint.name
-        self._context.health.note_answer(name, good, now)
+        self._context.health.record_answer(name, good, now)
         self._reservation.run.verdict = (
             runs.Verdict.GOOD if good else runs.Verdict.FAILED
         )
@@ -420,7 +420,9 @@
     def _record_unreachable(self, reason: str) -> None:
         assert self._reservation is not None
         name = self._reservation.endpoint.name
-        self._context.health.note_unreachable(name, self._context.ticker.now())
+        self._context.health.record_unreachable(
+            name, self._context.ticker.now()
+        )
         self._reservation.run.verdict = runs.Verdict.UNREACHABLE
         self._log_failure(name, reason, "no")
 
@@ -430,7 +432,7 @@
         if self._reservation is None:
             return
         name = self._reservation.endpoint.name
-        self._context.health.note_answer(
+        self._context.health.record_answer(
             name, False, self._context.ticker.now()
         )
         self._reservation.run.verdict = runs.Verdict.FAILED
@@ -441,7 +443,7 @@
     def _record_endpoint_end(self, endpoint: models.Endpoint) -> None:
         now = self._context.ticker.now()
         fingerprint = self._job.fingerprint
-        if self._context.suspects.note_end(fingerprint, endpoint, now):
+        if self._context.suspects.record_crash(fingerprint, endpoint, now):
             self._context.log.write(
                 log_events.RequestBarred(
                     request=self._work.request_id,
@@ -457,7 +459,7 @@
         )
 
     def _record_whole_answer(self) -> None:
-        self._context.suspects.note_whole(
+        self._context.suspects.record_completion(
             self._job.fingerprint, self._context.ticker.now()
         )
 
@@ -466,10 +468,10 @@
         # looks idle and well, and draws more. Its callers' leaving is the
         # only sign.
         reservation = self._reservation
-        if reservation is None or reservation.run.first is not None:
+        if reservation is None or reservation.run.first_event_at is not None:
             return
         now = self._context.ticker.now()
-        if late or now - reservation.run.sent >= MIN_SILENCE_SECONDS:
+        if late or now - reservation.run.sent_at >= MIN_SILENCE_SECONDS:
             # The reset of an endpoint that ended may be lost on its way.
             gone = (
                 reservation.endpoint.name
--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -38,7 +38,7 @@
         members: membership_module.Membership,
         quotas: quota.Quotas,
         profiles: profiles_module.Profiles,
-        suspects: suspects_module.Suspects,
+        suspects: suspects_module.SuspectRequests,
         limits: endpoint_limits.EndpointLimits,
         describe: messages.Describe,
     ) -> None:
@@ -70,11 +70,11 @@
             data_centre=self._data_centre,
             passed_on=False,
             rows=[_make_row(report, age) for report, age in near],
-            passed=self._quotas.get_sums(),
+            passed=self._quotas.get_data_centre_totals(),
             profiles=list(profiles.values()),
             members=self._members.list_members(now),
-            suspects=self._suspects.list_told(now, MAX_NEWS),
-            limits=self._limits.list_told(now, MAX_NEWS),
+            suspects=self._suspects.list_updates(now, MAX_NEWS),
+            limits=self._limits.list_updates(now, MAX_NEWS),
         )
 
     def take(self, summary: messages.Summary, now: float) -> bool:
@@ -98,15 +98,17 @@
             report, age = _read_row(summary, row)
             self._members.hear(report, now - age)
         self._members.learn(summary.members, now)
-        self._suspects.hear(summary.suspects, now)
-        self._limits.hear(summary.limits, now)
-        self._quotas.hear_sums(
+        self._suspects.apply_updates(summary.suspects, now)
+        self._limits.apply_updates(summary.limits, now)
+        self._quotas.apply_data_centre_totals(
             summary.data_centre, summary.instance, start, summary.passed, now
         )
         for service, begin, read, stay in summary.profiles:
-            self._profiles.hear(
+            self._profiles.set_remote(
                 service,
-                profiles_module.Profile(begin=begin, read=read, stay=stay),
+                profiles_module.Profile(
+                    base_steps=begin, steps_per_token=read, total_steps=stay
+                ),
             )
         return True
 
--- a/citronport/scheduler/direct/buckets.py
+++ b/citronport/scheduler/direct/buckets.py
@@ -3,19 +3,19 @@
 import dataclasses
 import math
 
-SPREAD = 1.25
+SKEW_FACTOR = 1.25
 """How much more than its part of what is left of a limit an instance lets
 pass before the others hear of it: callers draw instances by chance, so that
 one gets more of a workspace's requests than another for a while."""
 
-FLOW_SECONDS = 4.0
+USAGE_HALF_LIFE_SECONDS = 4.0
 """Time in which half of what passed is forgotten: longer than a debt that
 keeps a flood out, after which it would come in as one again."""
 
-FLOW_MARGIN = 2.0
+USAGE_MARGIN = 2.0
 """How much more than of late may pass until the next report."""
 
-DEBT_REPORTS = 6.0
+MAX_DEBT_REPORTS = 6.0
 """Deepest debt of a bucket, in reports' worth of its rate, or a burst if
 that is more. A flood that came in between two reports is paid back; a long
 request in a fleet of fresh reports locks nobody out for seconds."""
@@ -37,12 +37,12 @@
     """
 
     level: float
-    at: float
-    promised: float = 0.0
-    recent: float = 0.0
-    recent_until: float = 0.0
-    flow: float = 0.0
-    flow_at: float = 0.0
+    refilled_at: float
+    reserved: float = 0.0
+    unreported: float = 0.0
+    unreported_until: float = 0.0
+    recent_usage: float = 0.0
+    recent_usage_at: float = 0.0
 
     def refill(
         self, rate: float, burst: float, lag: float, now: float
@@ -55,23 +55,23 @@
             lag: time until the others hear of what passes, seconds.
             now: clock time, seconds.
         """
-        gained = max(0.0, now - self.at) * rate
-        deepest = -max(burst, DEBT_REPORTS * lag * rate)
+        gained = max(0.0, now - self.refilled_at) * rate
+        deepest = -max(burst, MAX_DEBT_REPORTS * lag * rate)
         self.level = max(deepest, min(burst, self.level + gained))
-        self.promised = max(0.0, self.promised - gained)
-        self.at = now
+        self.reserved = max(0.0, self.reserved - gained)
+        self.refilled_at = now
 
     def take(self, units: float, lag: float, now: float) -> None:
         """Let units pass here."""
-        if now >= self.recent_until:
-            self.recent = 0.0
-            self.recent_until = now + lag
-        self.recent += units
-        self.note_flow(units, now)
+        if now >= self.unreported_until:
+            self.unreported = 0.0
+            self.unreported_until = now + lag
+        self.unreported += units
+        self.record_usage(units, now)
         self.level -= units
-        self.promised = max(0.0, self.promised - units)
+        self.reserved = max(0.0, self.reserved - units)
 
-    def has_part(self, instances: int, lag: float, now: float) -> bool:
+    def has_local_share(self, instances: int, lag: float, now: float) -> bool:
         """Return whether this instance has not let pass its part for now.
 
         Load: a workspace at many times its limit in a fleet whose reports
@@ -81,22 +81,26 @@
         report, as callers do not come to instances in equal parts. The
         size of the request does not matter, as for the limit itself.
         """
-        if now >= self.recent_until:
+        if now >= self.unreported_until:
             return True
-        if self.level >= FLOW_MARGIN * self._compute_flow(now) * lag:
+        if self.level >= USAGE_MARGIN * self._compute_usage_rate(now) * lag:
             return True
-        left = self.level + self.recent
-        return self.recent <= SPREAD * left / instances
+        left = self.level + self.unreported
+        return self.unreported <= SKEW_FACTOR * left / instances
 
-    def note_flow(self, units: float, now: float) -> None:
+    def record_usage(self, units: float, now: float) -> None:
         """Count units that passed somewhere."""
-        self.flow = self._compute_sum(now) + units
-        self.flow_at = now
+        self.recent_usage = self._compute_recent_usage(now) + units
+        self.recent_usage_at = now
 
-    def _compute_flow(self, now: float) -> float:
+    def _compute_usage_rate(self, now: float) -> float:
         """Return the units that pass a second, of late."""
-        return math.log(2) / FLOW_SECONDS * self._compute_sum(now)
-
-    def _compute_sum(self, now: float) -> float:
-        age = max(0.0, now - self.flow_at)
-        return self.flow * 0.5 ** (age / FLOW_SECONDS)
+        return (
+            math.log(2)
+            / USAGE_HALF_LIFE_SECONDS
+            * self._compute_recent_usage(now)
+        )
+
+    def _compute_recent_usage(self, now: float) -> float:
+        age = max(0.0, now - self.recent_usage_at)
+        return self.recent_usage * 0.5 ** (age / USAGE_HALF_LIFE_SECONDS)
--- a/citronport/scheduler/direct/endpoint_limits.py
+++ b/citronport/scheduler/direct/endpoint_limits.py
@@ -3,9 +3,9 @@
 import collections.abc
 import dataclasses
 
-from citronport.scheduler.direct import ranking
-from citronport.scheduler.direct import shares
-from citronport.scheduler.direct import telling
+from citronport.scheduler.direct import announcements
+from citronport.scheduler.direct import rendezvous
+from citronport.scheduler.direct import roles
 
 SENDER_SHARE = 0.8
 """Part of a limit that instances use which find no owner of the endpoint;
@@ -19,7 +19,7 @@
 """Requests a second that any endpoint gets: only an answer tells that it
 names a limit no longer."""
 
-NOT_LIMITED = -1
+NO_LIMIT = -1
 
 Row = tuple[str, int, int]
 """What instances tell each other of an endpoint: its name, its limit in
@@ -39,9 +39,9 @@
     """
 
     rate: float | None
-    heard: float
+    reported_at: float
     tokens: float
-    filled: float
+    refilled_at: float
 
 
 class EndpointLimits:
@@ -56,9 +56,9 @@
     def __init__(self) -> None:
         self._limits: dict[str, _Limit] = {}
         self._limited: dict[str, None] = {}
-        self._telling = telling.Telling()
+        self._announcements = announcements.Announcements()
 
-    def note_answer(
+    def record_limit(
         self, endpoint: str, rate: float | None, now: float
     ) -> bool:
         """Note what an answer says; return whether that is a change.
@@ -77,95 +77,105 @@
             return None
         return max(MIN_RATE, limit.rate)
 
-    def may_send(self, endpoint: str, share: shares.Share, now: float) -> bool:
+    def may_send(self, endpoint: str, role: roles.Role, now: float) -> bool:
         """Return whether one more request fits into an endpoint's limit."""
         rate = self.get_rate(endpoint)
         if rate is None:
             return True
-        part = _divide(endpoint, rate, share)
+        sender_rate = _compute_sender_rate(endpoint, rate, role)
         limit = self._limits[endpoint]
-        passed = max(0.0, now - limit.filled)
-        most = max(1.0, BUCKET_SECONDS * part)
-        limit.tokens = min(most, limit.tokens + part * passed)
-        limit.filled = now
+        elapsed = max(0.0, now - limit.refilled_at)
+        capacity = max(1.0, BUCKET_SECONDS * sender_rate)
+        limit.tokens = min(capacity, limit.tokens + sender_rate * elapsed)
+        limit.refilled_at = now
         return limit.tokens >= 1
 
-    def note_send(self, endpoint: str) -> None:
+    def record_send(self, endpoint: str) -> None:
         """Count a request that goes there."""
         limit = self._limits.get(endpoint)
         if limit is not None:
             limit.tokens = max(-1.0, limit.tokens - 1)
 
-    def count(self) -> int:
+    def count_limited(self) -> int:
         """Return how many endpoints name a limit now."""
         return len(self._limited)
 
-    def list_told(self, now: float, most: int = telling.MAX_NEWS) -> list[Row]:
+    def list_updates(
+        self, now: float, max_changes: int = announcements.MAX_CHANGES
+    ) -> list[Row]:
         """Return what to tell other instances now.
 
         Args:
             now: clock time, seconds.
-            most: changes to tell at once.
+            max_changes: changes to tell at once.
         """
         rows = []
-        for name in self._telling.choose(self._limited, now, most):
+        for name in self._announcements.select(
+            self._limited, now, max_changes
+        ):
             limit = self._limits[name]
             rate = limit.rate
-            told = NOT_LIMITED if rate is None else round(rate * 1000)
-            rows.append((name, told, round((now - limit.heard) * 1000)))
+            rate_per_1000 = NO_LIMIT if rate is None else round(rate * 1000)
+            rows.append(
+                (name, rate_per_1000, round((now - limit.reported_at) * 1000))
+            )
         return rows
 
-    def hear(self, rows: collections.abc.Iterable[Row], now: float) -> None:
+    def apply_updates(
+        self, rows: collections.abc.Iterable[Row], now: float
+    ) -> None:
         """Take what another instance tells; the newest answer counts."""
-        for name, told, age in rows:
-            rate = None if told == NOT_LIMITED else told / 1000
-            heard = now - age / 1000
+        for name, rate_per_1000, age in rows:
+            rate = None if rate_per_1000 == NO_LIMIT else rate_per_1000 / 1000
+            reported_at = now - age / 1000
             known = self._limits.get(name)
-            if known is None or heard > known.heard:
-                self._set(name, rate, heard, now)
+            if known is None or reported_at > known.reported_at:
+                self._set(name, rate, reported_at, now)
             elif rate != known.rate:
                 # The other one has an older answer than this instance.
-                self._telling.note_change(name, now)
+                self._announcements.record_change(name, now)
 
     def forget(self, endpoint: str) -> None:
         """Drop what is known of an endpoint that is gone."""
         self._limits.pop(endpoint, None)
         self._limited.pop(endpoint, None)
-        self._telling.drop(endpoint)
+        self._announcements.drop(endpoint)
 
     def _set(
-        self, endpoint: str, rate: float | None, heard: float, now: float
+        self, endpoint: str, rate: float | None, reported_at: float, now: float
     ) -> bool:
         limit = self._limits.get(endpoint)
         if limit is None:
-            limit = _Limit(None, heard, 0.0, now)
+            limit = _Limit(None, reported_at, 0.0, now)
             self._limits[endpoint] = limit
-        limit.heard = heard
+        limit.reported_at = reported_at
         if limit.rate == rate:
             return False
         if limit.rate is None:
             # It has as much in work as it could get without a limit.
             limit.tokens = 0.0
-            limit.filled = now
+            limit.refilled_at = now
         limit.rate = rate
         if rate is None:
             self._limited.pop(endpoint, None)
         else:
             self._limited[endpoint] = None
-        self._telling.note_change(endpoint, now)
+        self._announcements.record_change(endpoint, now)
         return True
 
 
-def _divide(endpoint: str, rate: float, share: shares.Share) -> float:
+def _compute_sender_rate(
+    endpoint: str, rate: float, role: roles.Role
+) -> float:
     """Return the requests a second that an instance may send."""
-    match share:
-        case shares.Owner():
+    match role:
+        case roles.Owner():
             return rate
-        case shares.Sender(own=own, instances=instances):
+        case roles.Sender(own=own, instances=instances):
             # One request at a time of each of hundreds of instances would
             # already be too much: only some may send there.
             senders = max(1, int(rate * SENDER_SHARE))
-            chosen = ranking.choose(endpoint, instances, senders)
+            chosen = rendezvous.choose(endpoint, instances, senders)
             if own not in chosen:
                 return 0.0
             return rate * SENDER_SHARE / len(chosen)
--- a/citronport/scheduler/direct/health.py
+++ b/citronport/scheduler/direct/health.py
@@ -2,27 +2,27 @@
 
 import dataclasses
 
-SUSPECT_SECONDS = 0.5
+FIRST_PAUSE_SECONDS = 0.5
 """First pause after a failed connection; a restart takes about as long."""
 
-MAX_SUSPECT_SECONDS = 3.0
+MAX_PAUSE_SECONDS = 3.0
 """Longest pause: each probe of a dark endpoint costs one request a wait."""
 
 FAILURE_WEIGHT = 0.2
 """Weight of the newest answer in the share of failures: about the last
 five answers count, so that a fault of a few seconds is seen within it."""
 
-FORGET_SECONDS = 5.0
+FAILURE_HALF_LIFE_SECONDS = 5.0
 """Time in which half of a share of failures is forgotten without new
 answers, so that an endpoint that nobody chooses any more gets a chance."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    failures: float = 0.0
-    at: float = 0.0
+    failure_share: float = 0.0
+    updated_at: float = 0.0
     pause: float = 0.0
-    suspect_until: float = 0.0
+    paused_until: float = 0.0
     probing: bool = False
 
 
@@ -32,31 +32,33 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
-    def note_unreachable(self, endpoint: str, now: float) -> None:
+    def record_unreachable(self, endpoint: str, now: float) -> None:
         """Note that no connection came about, or one broke unanswered."""
         record = self._records.setdefault(endpoint, _Record())
-        self._age(record, now)
-        record.failures += FAILURE_WEIGHT * (1 - record.failures)
+        self._decay(record, now)
+        record.failure_share += FAILURE_WEIGHT * (1 - record.failure_share)
         record.probing = False
-        if now < record.suspect_until:
+        if now < record.paused_until:
             # Requests that were on their way together fail together: that
             # is one failure, and not a row of them.
             return
-        pause = 2 * record.pause or SUSPECT_SECONDS
-        record.pause = min(pause, MAX_SUSPECT_SECONDS)
-        record.suspect_until = now + record.pause
+        pause = 2 * record.pause or FIRST_PAUSE_SECONDS
+        record.pause = min(pause, MAX_PAUSE_SECONDS)
+        record.paused_until = now + record.pause
 
-    def note_answer(self, endpoint: str, good: bool, now: float) -> bool:
+    def record_answer(self, endpoint: str, success: bool, now: float) -> bool:
         """Note an answer; return whether it ended a time out of reach."""
         record = self._records.setdefault(endpoint, _Record())
-        self._age(record, now)
-        target = 0.0 if good else 1.0
-        record.failures += FAILURE_WEIGHT * (target - record.failures)
-        returned = record.pause > 0
+        self._decay(record, now)
+        target = 0.0 if success else 1.0
+        record.failure_share += FAILURE_WEIGHT * (
+            target - record.failure_share
+        )
+        recovered = record.pause > 0
         record.pause = 0.0
-        record.suspect_until = 0.0
+        record.paused_until = 0.0
         record.probing = False
-        return returned
+        return recovered
 
     def may_use(self, endpoint: str, now: float) -> bool:
         """Return whether a request may be risked there.
@@ -68,33 +70,33 @@
         record = self._records.get(endpoint)
         if record is None or not record.pause:
             return True
-        return now >= record.suspect_until and not record.probing
+        return now >= record.paused_until and not record.probing
 
-    def note_send(self, endpoint: str) -> None:
+    def record_send(self, endpoint: str) -> None:
         """Note that a request goes there now."""
         record = self._records.get(endpoint)
         if record is not None and record.pause:
             record.probing = True
 
-    def note_unsent(self, endpoint: str) -> None:
+    def record_no_result(self, endpoint: str) -> None:
         """Note that a request ended without an answer of either kind."""
         record = self._records.get(endpoint)
         if record is not None:
             record.probing = False
 
-    def get_failures(self, endpoint: str, now: float) -> float:
+    def get_failure_share(self, endpoint: str, now: float) -> float:
         """Return the share of recent requests that failed, 0 to 1."""
         record = self._records.get(endpoint)
         if record is None:
             return 0.0
-        self._age(record, now)
-        return record.failures
+        self._decay(record, now)
+        return record.failure_share
 
     def forget(self, endpoint: str) -> None:
         """Drop what is known of an endpoint that is gone."""
         self._records.pop(endpoint, None)
 
-    def _age(self, record: _Record, now: float) -> None:
-        passed = max(0.0, now - record.at)
-        record.failures *= 0.5 ** (passed / FORGET_SECONDS)
-        record.at = now
+    def _decay(self, record: _Record, now: float) -> None:
+        elapsed = max(0.0, now - record.updated_at)
+        record.failure_share *= 0.5 ** (elapsed / FAILURE_HALF_LIFE_SECONDS)
+        record.updated_at = now
--- a/citronport/scheduler/direct/leases.py
+++ b/citronport/scheduler/direct/leases.py
@@ -3,22 +3,22 @@
 import collections.abc
 import dataclasses
 
-from citronport.scheduler.direct import board as board_module
+from citronport.scheduler.direct import load_tracker
 
-RENEW_SECONDS = 0.5
+RENEW_INTERVAL_SECONDS = 0.5
 """Pause between two renewals of all leases that an instance holds."""
 
 EXPIRE_SECONDS = 1.6
 """Time after which a lease that is not renewed ends: three renewals may get
 lost, and the places of a dead instance are free within two seconds."""
 
-GRANT_SECONDS = 0.3
+RENEW_GRACE_SECONDS = 0.3
 """Age from which on a lease has to stand in a renewal; a younger one may
 have been granted after the renewal was sent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Held:
+class HeldLease:
     """A lease as its holder tells it.
 
     Attributes:
@@ -29,14 +29,14 @@
 
     request_id: str
     endpoint: str
-    unread: int
+    prefill_tokens: int
 
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
     holder: str
-    granted: float
-    renewed: float
+    granted_at: float
+    renewed_at: float
 
 
 class Leases:
@@ -51,8 +51,8 @@
         board: where the requests count.
     """
 
-    def __init__(self, board: board_module.Board) -> None:
-        self._board = board
+    def __init__(self, loads: load_tracker.LoadTracker) -> None:
+        self._loads = loads
         self._leases: dict[tuple[str, str], _Lease] = {}
 
     def __len__(self) -> int:
@@ -80,16 +80,18 @@
             now: clock time, seconds, if its holder gave it back.
         """
         if self._leases.pop((request_id, endpoint), None) is not None:
-            self._board.note_end(endpoint, request_id, now)
+            self._loads.record_end(endpoint, request_id, now)
 
-    def begin(self, request_id: str, endpoint: str, now: float) -> None:
+    def record_first_event(
+        self, request_id: str, endpoint: str, now: float
+    ) -> None:
         """Note that the request of a lease has got its first event."""
-        self._board.note_begun(endpoint, request_id, now)
+        self._loads.record_first_event(endpoint, request_id, now)
 
     def renew(
         self,
         holder: str,
-        held: collections.abc.Iterable[Held],
+        held: collections.abc.Iterable[HeldLease],
         now: float,
     ) -> None:
         """Take all leases of an instance as it tells them.
@@ -98,24 +100,30 @@
         got lost fills a slot that is free; a new owner takes full
         endpoints for idle. What the holder tells replaces what is known.
         """
-        told = {(h.request_id, h.endpoint): h for h in held}
-        for key, one in told.items():
+        reported = {(h.request_id, h.endpoint): h for h in held}
+        for key, reported_lease in reported.items():
             lease = self._leases.get(key)
             if lease is None:
-                self._board.note_held(one.endpoint, one.request_id, one.unread)
+                self._loads.record_remote_request(
+                    reported_lease.endpoint,
+                    reported_lease.request_id,
+                    reported_lease.prefill_tokens,
+                )
                 self._leases[key] = _Lease(holder, now, now)
                 continue
-            lease.renewed = now
-            if not one.unread:
-                self._board.note_begun(one.endpoint, one.request_id, now)
+            lease.renewed_at = now
+            if not reported_lease.prefill_tokens:
+                self._loads.record_first_event(
+                    reported_lease.endpoint, reported_lease.request_id, now
+                )
         for key, lease in list(self._leases.items()):
-            if lease.holder != holder or key in told:
+            if lease.holder != holder or key in reported:
                 continue
-            if now - lease.granted > GRANT_SECONDS:
+            if now - lease.granted_at > RENEW_GRACE_SECONDS:
                 self.end(*key)
 
-    def sweep(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """End the leases that nobody renews."""
         for key, lease in list(self._leases.items()):
-            if now - lease.renewed > EXPIRE_SECONDS:
+            if now - lease.renewed_at > EXPIRE_SECONDS:
                 self.end(*key)
--- a/citronport/scheduler/direct/board.py
+++ b/citronport/scheduler/direct/load_tracker.py
@@ -7,33 +7,33 @@
 from citronport.scheduler.direct import profiles
 from citronport.scheduler.direct import runs
 
-START_PACE = 5.0
+DEFAULT_STEP_MS = 5.0
 """Pace of an engine before any was measured, milliseconds; with the first
 streams, a third of a second after a start, it is not used any more."""
 
-PACE_WEIGHT = 0.3
+STEP_MS_WEIGHT = 0.3
 """Weight of the newest measured pace."""
 
-MIN_PACE = 0.2
-MAX_PACE = 500.0
+MIN_STEP_MS = 0.2
+MAX_STEP_MS = 500.0
 """Bounds of a measured pace, milliseconds; what lies beyond comes from a
 cut or pause."""
 
-MAX_IDLE_ROWS = 12
+MAX_IDLE_ROWS_PER_REPORT = 12
 """Paces told in one report of endpoints without own work: with 45 endpoints
 each is told every fourth report, and a report stays below 2 KB."""
 
-LEASED_IDLE_ROWS = 3
+LEASING_IDLE_ROWS_PER_REPORT = 3
 """The same in a large fleet: the owner hears each pace at a request's end,
 and the others need it only when they find no owner."""
 
 ANSWER_WEIGHT = 0.2
 """Weight of the newest answer of a plain service in its mean time."""
 
-START_ANSWER_SECONDS = 0.05
+DEFAULT_ANSWER_SECONDS = 0.05
 """Time of a plain answer before any was measured."""
 
-UNTRIED_SHARE = 0.9
+UNTRIED_FACTOR = 0.9
 """What an untried endpoint's answer is taken to need, as a share of the
 fastest known one's."""
 
@@ -48,16 +48,16 @@
     """
 
     requests: int
-    unread: int
+    prefill_backlog: int
 
 
 @dataclasses.dataclass(slots=True)
-class _Heard:
+class _RemoteReport:
     loads: dict[str, tuple[int, int]]
-    paces: dict[str, float]
+    step_ms: dict[str, float]
 
 
-class Board:
+class LoadTracker:
     """Loads and paces of all endpoints, as seen by one instance.
 
     Attributes:
@@ -70,17 +70,17 @@
         # Requests of this instance whose places another one handed out:
         # they count there, and would count twice if told from here.
         self._leased: dict[str, dict[str, runs.Run]] = {}
-        self._paces: dict[str, float] = {}
-        self._answers: dict[str, float] = {}
-        self._turn = 0
-        self._heard: dict[str, _Heard] = {}
+        self._step_ms: dict[str, float] = {}
+        self._answer_seconds: dict[str, float] = {}
+        self._rotation = 0
+        self._remote: dict[str, _RemoteReport] = {}
         # Sums over all instances, kept up with each report: a choice
         # among 45 endpoints would else look at 60 reports for each.
-        self._others: dict[str, list[int]] = {}
-        self._middles: dict[str, float] = {}
-        self._typical: float | None = None
+        self._remote_totals: dict[str, list[int]] = {}
+        self._median_step_ms: dict[str, float] = {}
+        self._typical_step_ms: float | None = None
 
-    def note_sent(
+    def record_send(
         self, endpoint: str, work: models.Work, now: float, service: str = ""
     ) -> runs.Run:
         """Note that a request goes to an endpoint; return its record.
@@ -94,11 +94,13 @@
         """
         run = runs.Run(work.request_id, work.prompt_tokens, now)
         run.service = service
-        run.ahead = self.get_load(endpoint).unread if service else 0
+        run.prefill_backlog = (
+            self.get_load(endpoint).prefill_backlog if service else 0
+        )
         self._own.setdefault(endpoint, {})[work.request_id] = run
         return run
 
-    def note_leased(
+    def record_leased_send(
         self, endpoint: str, work: models.Work, now: float
     ) -> runs.Run:
         """Note a request whose place another instance has handed out."""
@@ -106,21 +108,25 @@
         self._leased.setdefault(endpoint, {})[work.request_id] = run
         return run
 
-    def note_held(self, endpoint: str, request_id: str, unread: int) -> None:
+    def record_remote_request(
+        self, endpoint: str, request_id: str, prefill_tokens: int
+    ) -> None:
         """Note another instance's request, which counts here from now on."""
-        run = runs.Run(request_id, unread, 0.0)
-        if not unread:
-            run.first = 0.0
+        run = runs.Run(request_id, prefill_tokens, 0.0)
+        if not prefill_tokens:
+            run.first_event_at = 0.0
         self._own.setdefault(endpoint, {})[request_id] = run
 
-    def note_begun(self, endpoint: str, request_id: str, now: float) -> None:
+    def record_first_event(
+        self, endpoint: str, request_id: str, now: float
+    ) -> None:
         """Note that another instance's request has got its first event."""
         run = self._own.get(endpoint, {}).get(request_id)
-        if run is not None and run.first is None:
-            run.first = now
-            self._learn_begin(endpoint, run, now)
+        if run is not None and run.first_event_at is None:
+            run.first_event_at = now
+            self._update_profile(endpoint, run, now)
 
-    def note_events(
+    def record_events(
         self,
         endpoint: str,
         run: runs.Run,
@@ -137,25 +143,27 @@
             tokens: tokens in one event.
             now: clock time, seconds.
         """
-        if run.first is None:
-            run.begin(events, now)
-            self._learn_begin(endpoint, run, now)
+        if run.first_event_at is None:
+            run.record_first_event(events, now)
+            self._update_profile(endpoint, run, now)
             return
-        pace = run.measure(events, tokens, now)
-        if pace is not None:
-            self._learn(endpoint, pace)
+        step_ms = run.record_events(events, tokens, now)
+        if step_ms is not None:
+            self._update_step_ms(endpoint, step_ms)
 
-    def note_answer(self, endpoint: str, run: runs.Run, now: float) -> None:
+    def record_answer(self, endpoint: str, run: runs.Run, now: float) -> None:
         """Note the whole answer of a plain service."""
-        run.taken = now - run.sent
-        self.note_taken(endpoint, run.taken)
+        run.answer_seconds = now - run.sent_at
+        self.record_answer_seconds(endpoint, run.answer_seconds)
 
-    def note_taken(self, endpoint: str, taken: float) -> None:
+    def record_answer_seconds(self, endpoint: str, seconds: float) -> None:
         """Take the time of one plain answer, seconds."""
-        known = self._answers.get(endpoint, taken)
-        self._answers[endpoint] = known + ANSWER_WEIGHT * (taken - known)
+        known = self._answer_seconds.get(endpoint, seconds)
+        self._answer_seconds[endpoint] = known + ANSWER_WEIGHT * (
+            seconds - known
+        )
 
-    def note_end(
+    def record_end(
         self, endpoint: str, request_id: str, now: float | None = None
     ) -> None:
         """Note that a request has ended or left an endpoint.
@@ -166,12 +174,17 @@
             now: clock time, seconds, if the place was used to its end.
         """
         run = self._own.get(endpoint, {}).get(request_id)
-        if run and run.service and run.first is not None and now is not None:
-            step = self.get_pace(endpoint) * runs.PACE_SECONDS
-            self.profiles.note_end(run.service, (now - run.sent) / step)
+        if (
+            run
+            and run.service
+            and run.first_event_at is not None
+            and now is not None
+        ):
+            step = self.get_step_ms(endpoint) * runs.SECONDS_PER_MS
+            self.profiles.record_end(run.service, (now - run.sent_at) / step)
         _remove(self._own, endpoint, request_id)
 
-    def note_lease_end(self, endpoint: str, request_id: str) -> None:
+    def record_leased_end(self, endpoint: str, request_id: str) -> None:
         """Note that a leased request has ended or left an endpoint."""
         _remove(self._leased, endpoint, request_id)
 
@@ -183,48 +196,50 @@
             for run in held.values()
         ]
 
-    def get_own_pace(self, endpoint: str) -> float | None:
+    def get_own_step_ms(self, endpoint: str) -> float | None:
         """Return the pace that this instance measured, if it did."""
-        return self._paces.get(endpoint)
+        return self._step_ms.get(endpoint)
 
-    def hear_pace(self, sender: str, endpoint: str, pace: float) -> None:
+    def apply_step_ms(
+        self, sender: str, endpoint: str, step_ms: float
+    ) -> None:
         """Take the pace of one endpoint that another instance measured."""
-        heard = self._heard.setdefault(sender, _Heard({}, {}))
-        heard.paces[endpoint] = pace
-        self._middles.pop(endpoint, None)
+        report = self._remote.setdefault(sender, _RemoteReport({}, {}))
+        report.step_ms[endpoint] = step_ms
+        self._median_step_ms.pop(endpoint, None)
 
-    def hear(
+    def apply_report(
         self,
         sender: str,
-        loads: collections.abc.Iterable[tuple[str, int, int, int]],
+        rows: collections.abc.Iterable[tuple[str, int, int, int]],
     ) -> None:
         """Take the loads that another instance tells.
 
         Args:
             sender: its name.
-            loads: rows as ``list_own`` makes them. A load that has no row
+            rows: as ``make_report_rows`` makes them. A load that has no row
                 is none; a pace that has no row stays as it was.
         """
-        heard = self._heard.setdefault(sender, _Heard({}, {}))
-        self._add(heard.loads, -1)
-        heard.loads = {}
-        for name, requests, unread, pace in loads:
+        report = self._remote.setdefault(sender, _RemoteReport({}, {}))
+        self._add_remote(report.loads, -1)
+        report.loads = {}
+        for name, requests, prefill_backlog, step_nanoseconds in rows:
             if requests:
-                heard.loads[name] = (requests, unread)
-            if pace:
-                heard.paces[name] = pace / 1e6
-                self._middles.pop(name, None)
-        self._add(heard.loads, 1)
+                report.loads[name] = (requests, prefill_backlog)
+            if step_nanoseconds:
+                report.step_ms[name] = step_nanoseconds / 1e6
+                self._median_step_ms.pop(name, None)
+        self._add_remote(report.loads, 1)
 
-    def drop_silent(self, fresh: collections.abc.Container[str]) -> None:
+    def drop_stale(self, fresh: collections.abc.Container[str]) -> None:
         """Forget the loads of instances that are out of reach."""
-        for sender in [s for s in self._heard if s not in fresh]:
-            heard = self._heard.pop(sender)
-            self._add(heard.loads, -1)
-            self._middles.clear()
+        for sender in [s for s in self._remote if s not in fresh]:
+            report = self._remote.pop(sender)
+            self._add_remote(report.loads, -1)
+            self._median_step_ms.clear()
 
-    def list_own(
-        self, idle_rows: int = MAX_IDLE_ROWS
+    def make_report_rows(
+        self, idle_rows: int = MAX_IDLE_ROWS_PER_REPORT
     ) -> list[tuple[str, int, int, int]]:
         """Return own loads and paces, in the form that is told.
 
@@ -235,117 +250,135 @@
             idle_rows: how many of these paces.
         """
         rows = []
-        self._typical = None
-        idle = [name for name in self._paces if name not in self._own]
-        turn = self._turn = (self._turn + idle_rows) % max(1, len(idle))
-        told = (idle[turn:] + idle[:turn])[:idle_rows]
-        for name in [*self._own, *told]:
-            load = self._count_own(name)
-            pace = int(self._paces.get(name, 0.0) * 1e6)
-            rows.append((name, load.requests, load.unread, pace))
+        self._typical_step_ms = None
+        idle = [name for name in self._step_ms if name not in self._own]
+        start = self._rotation = (self._rotation + idle_rows) % max(
+            1, len(idle)
+        )
+        selected = (idle[start:] + idle[:start])[:idle_rows]
+        for name in [*self._own, *selected]:
+            load = self._get_own_load(name)
+            step_nanoseconds = int(self._step_ms.get(name, 0.0) * 1e6)
+            rows.append(
+                (name, load.requests, load.prefill_backlog, step_nanoseconds)
+            )
         return rows
 
     def get_load(self, endpoint: str) -> Load:
         """Return what runs at an endpoint, of all instances."""
-        own = self._count_own(endpoint)
-        others = self._others.get(endpoint)
+        own = self._get_own_load(endpoint)
+        others = self._remote_totals.get(endpoint)
         if others is None:
             return own
-        return Load(own.requests + others[0], own.unread + others[1])
+        return Load(own.requests + others[0], own.prefill_backlog + others[1])
 
     def count_requests(self, endpoint: str) -> int:
         """Return the requests at an endpoint, of all instances."""
-        others = self._others.get(endpoint)
+        others = self._remote_totals.get(endpoint)
         own = len(self._own.get(endpoint, ()))
         return own if others is None else own + others[0]
 
-    def count_own(self, endpoint: str) -> int:
+    def count_own_requests(self, endpoint: str) -> int:
         """Return the requests of this instance at an endpoint."""
         return len(self._own.get(endpoint, ()))
 
-    def get_pace(self, endpoint: str) -> float:
+    def get_step_ms(self, endpoint: str) -> float:
         """Return the time of one step, milliseconds."""
-        middle = self._middles.get(endpoint)
-        if middle is None:
-            middle = self._middles[endpoint] = self._find_middle(endpoint)
-        return middle
+        median = self._median_step_ms.get(endpoint)
+        if median is None:
+            median = self._median_step_ms[endpoint] = (
+                self._compute_median_step_ms(endpoint)
+            )
+        return median
 
-    def _find_middle(self, endpoint: str) -> float:
+    def _compute_median_step_ms(self, endpoint: str) -> float:
         known = [
-            pace
-            for heard in self._heard.values()
-            if (pace := heard.paces.get(endpoint)) is not None
+            step_ms
+            for report in self._remote.values()
+            if (step_ms := report.step_ms.get(endpoint)) is not None
         ]
-        own = self._paces.get(endpoint)
+        own = self._step_ms.get(endpoint)
         if own is not None:
             known.append(own)
         if not known:
-            return self.get_typical_pace()
+            return self.get_typical_step_ms()
         return _find_median(known)
 
-    def get_typical_pace(self) -> float:
+    def get_typical_step_ms(self) -> float:
         """Return the middle of all known paces, milliseconds.
 
         An engine that nobody has measured yet is taken for a common one.
         It is looked up anew with each report, as hundreds of paces change
         a little all the time.
         """
-        if self._typical is None:
-            known = list(self._paces.values())
-            for heard in self._heard.values():
-                known += heard.paces.values()
-            self._typical = _find_median(known) if known else START_PACE
-        return self._typical
+        if self._typical_step_ms is None:
+            known = list(self._step_ms.values())
+            for report in self._remote.values():
+                known += report.step_ms.values()
+            self._typical_step_ms = (
+                _find_median(known) if known else DEFAULT_STEP_MS
+            )
+        return self._typical_step_ms
 
     def get_answer_seconds(self, endpoint: str) -> float:
         """Return the mean time of a plain answer, seconds."""
-        seconds = self._answers.get(endpoint)
+        seconds = self._answer_seconds.get(endpoint)
         if seconds is not None:
             return seconds
         # An endpoint that nobody has tried yet looks a little better than
         # the best of the others, or it would never be tried.
-        best = min(self._answers.values(), default=START_ANSWER_SECONDS)
-        return UNTRIED_SHARE * best
+        best = min(
+            self._answer_seconds.values(), default=DEFAULT_ANSWER_SECONDS
+        )
+        return UNTRIED_FACTOR * best
 
     def forget(self, endpoint: str) -> None:
         """Drop what is known of an endpoint that is gone."""
-        self._paces.pop(endpoint, None)
-        self._answers.pop(endpoint, None)
-        self._middles.pop(endpoint, None)
-        for heard in self._heard.values():
-            heard.paces.pop(endpoint, None)
+        self._step_ms.pop(endpoint, None)
+        self._answer_seconds.pop(endpoint, None)
+        self._median_step_ms.pop(endpoint, None)
+        for report in self._remote.values():
+            report.step_ms.pop(endpoint, None)
 
-    def _count_own(self, endpoint: str) -> Load:
+    def _get_own_load(self, endpoint: str) -> Load:
         here = self._own.get(endpoint)
         if not here:
             return Load(0, 0)
-        unread = sum(r.prompt_tokens for r in here.values() if r.first is None)
-        return Load(len(here), unread)
+        prefill_backlog = sum(
+            r.prompt_tokens for r in here.values() if r.first_event_at is None
+        )
+        return Load(len(here), prefill_backlog)
 
-    def _add(self, loads: dict[str, tuple[int, int]], sign: int) -> None:
-        for name, (requests, unread) in loads.items():
-            total = self._others.setdefault(name, [0, 0])
+    def _add_remote(
+        self, loads: dict[str, tuple[int, int]], sign: int
+    ) -> None:
+        for name, (requests, prefill_backlog) in loads.items():
+            total = self._remote_totals.setdefault(name, [0, 0])
             total[0] += sign * requests
-            total[1] += sign * unread
+            total[1] += sign * prefill_backlog
             if total == [0, 0]:
-                del self._others[name]
+                del self._remote_totals[name]
 
-    def _learn_begin(self, endpoint: str, run: runs.Run, now: float) -> None:
+    def _update_profile(
+        self, endpoint: str, run: runs.Run, now: float
+    ) -> None:
         if run.service:
-            step = self.get_pace(endpoint) * runs.PACE_SECONDS
-            tokens = run.ahead + run.prompt_tokens
-            self.profiles.note_begun(
-                run.service, tokens, (now - run.sent) / step
+            step = self.get_step_ms(endpoint) * runs.SECONDS_PER_MS
+            tokens = run.prefill_backlog + run.prompt_tokens
+            self.profiles.record_first_event(
+                run.service, tokens, (now - run.sent_at) / step
             )
 
-    def _learn(self, endpoint: str, pace: float) -> None:
-        pace = min(MAX_PACE, max(MIN_PACE, pace))
-        known = self._paces.get(endpoint)
-        self._middles.pop(endpoint, None)
+    def _update_step_ms(self, endpoint: str, step_ms: float) -> None:
+        step_ms = min(MAX_STEP_MS, max(MIN_STEP_MS, step_ms))
+        known = self._step_ms.get(endpoint)
+        self._median_step_ms.pop(endpoint, None)
         if known is None:
-            self._paces[endpoint] = pace
+            self._step_ms[endpoint] = step_ms
         else:
-            self._paces[endpoint] = known + PACE_WEIGHT * (pace - known)
+            self._step_ms[endpoint] = known + STEP_MS_WEIGHT * (
+                step_ms - known
+            )
 
 
 def _find_median(values: list[float]) -> float:
--- a/citronport/scheduler/direct/models.py
+++ b/citronport/scheduler/direct/models.py
@@ -5,7 +5,7 @@
 import functools
 
 
-class Repeat(enum.StrEnum):
+class RepeatPolicy(enum.StrEnum):
     """What a route allows to be sent a second time."""
 
     IDEMPOTENT = "idempotent"
@@ -45,7 +45,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     timeout: float
     objective: float
     tier: int
@@ -186,7 +186,7 @@
     started: int
 
     @property
-    def start(self) -> tuple[str, int]:
+    def start_id(self) -> tuple[str, int]:
         """What tells this start from all others."""
         return (self.name, self.started)
 
--- a/citronport/scheduler/direct/ownership.py
+++ b/citronport/scheduler/direct/ownership.py
@@ -3,9 +3,9 @@
 import dataclasses
 import math
 
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
-MIN_INSTANCES = 2
+MIN_LEASING_INSTANCES = 2
 """Instances from which on places are leased. Seven gain too, though reports
 between them are fresh: one queue orders the requests of all, and a burst
 finds no idle endpoint that others have seen as well."""
@@ -15,7 +15,7 @@
 an engine ends about one request a second for each of its slots, so that an
 owner is asked some hundred times a second at most."""
 
-CAPACITY_SHARE = 0.5
+MIN_CAPACITY_SHARE = 0.5
 """Part of the largest capacity from which on an instance may be an owner: a
 small machine is kept busy by its own callers."""
 
@@ -53,7 +53,9 @@
 
 def find_pool(service: str, endpoint: str, pools: int) -> Pool:
     """Return the pool that an endpoint belongs to."""
-    return Pool(service=service, number=ranking.compute_hash(endpoint) % pools)
+    return Pool(
+        service=service, number=rendezvous.compute_hash(endpoint) % pools
+    )
 
 
 def choose_owner(pool: Pool, candidates: tuple[Candidate, ...]) -> str | None:
@@ -71,8 +73,8 @@
     if not candidates:
         return None
     most = max(c.capacity for c in candidates)
-    able = [c for c in candidates if c.capacity >= CAPACITY_SHARE * most]
+    able = [c for c in candidates if c.capacity >= MIN_CAPACITY_SHARE * most]
     key = f"{pool.service} {pool.number}"
     return max(
-        able, key=lambda c: ranking.compute_hash(f"{key} {c.instance}")
+        able, key=lambda c: rendezvous.compute_hash(f"{key} {c.instance}")
     ).instance
--- a/citronport/scheduler/direct/profiles.py
+++ b/citronport/scheduler/direct/profiles.py
@@ -14,10 +14,10 @@
 MIN_SAMPLES = 8
 """Samples from which on a line is trusted; fewer may all be of one length."""
 
-MIN_SPREAD = 200.0
+MIN_DEVIATION_TOKENS = 200.0
 """Smallest spread of the prompts, tokens, from which a slope is read off."""
 
-OUTLIER = 4.0
+OUTLIER_FACTOR = 4.0
 """A first event that takes so many times the expected steps counts as that
 many: its engine was paused or failed, which is not the prompt's doing."""
 
@@ -32,19 +32,21 @@
         stay: from the send to the end.
     """
 
-    begin: float
-    read: float
-    stay: float
+    base_steps: float
+    steps_per_token: float
+    total_steps: float
 
 
-START = Profile(begin=10.0, read=0.005, stay=300.0)
+DEFAULT_PROFILE = Profile(
+    base_steps=10.0, steps_per_token=0.005, total_steps=300.0
+)
 """Used until a service is known. Of the order that engines show which read
 prompts in chunks between the steps of running requests; the first seconds
 of a new fleet go by it."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Line:
+class _LinearFit:
     """A straight line through samples, by decaying sums."""
 
     n: float = 0.0
@@ -65,31 +67,33 @@
         if self.n < MIN_SAMPLES:
             return None
         mean_x, mean_y = self.x / self.n, self.y / self.n
-        spread = self.xx / self.n - mean_x * mean_x
-        if spread < MIN_SPREAD * MIN_SPREAD:
+        variance = self.xx / self.n - mean_x * mean_x
+        if variance < MIN_DEVIATION_TOKENS * MIN_DEVIATION_TOKENS:
             return None
-        slope = (self.xy / self.n - mean_x * mean_y) / spread
+        slope = (self.xy / self.n - mean_x * mean_y) / variance
         slope = max(0.0, slope)
         return max(0.0, mean_y - slope * mean_x), slope
 
 
 @dataclasses.dataclass(slots=True)
-class _Learnt:
-    line: _Line
-    stays: float = 0.0
-    samples: float = 0.0
+class _ServiceSamples:
+    line: _LinearFit
+    total_steps: float = 0.0
+    count: float = 0.0
 
 
 class Profiles:
     """The profiles of all services, as seen by one instance."""
 
     def __init__(self) -> None:
-        self._learnt: dict[str, _Learnt] = {}
-        self._told: dict[str, Profile] = {}
+        self._samples: dict[str, _ServiceSamples] = {}
+        self._remote: dict[str, Profile] = {}
         # Each choice looks at the profile once for each endpoint.
-        self._known: dict[str, Profile] = {}
+        self._cache: dict[str, Profile] = {}
 
-    def note_begun(self, service: str, tokens: int, steps: float) -> None:
+    def record_first_event(
+        self, service: str, tokens: int, steps: float
+    ) -> None:
         """Take the first event of a request.
 
         Args:
@@ -99,53 +103,67 @@
             steps: from the send to the event.
         """
         expected = self.get(service)
-        most = OUTLIER * (expected.begin + expected.read * tokens)
-        self._find(service).line.add(tokens, min(steps, most))
+        most = OUTLIER_FACTOR * (
+            expected.base_steps + expected.steps_per_token * tokens
+        )
+        self._get_samples(service).line.add(tokens, min(steps, most))
 
-    def note_end(self, service: str, steps: float) -> None:
+    def record_end(self, service: str, steps: float) -> None:
         """Take the steps for which a request held its place."""
-        learnt = self._find(service)
-        learnt.samples = learnt.samples * DECAY + 1
-        learnt.stays = learnt.stays * DECAY + steps
+        samples = self._get_samples(service)
+        samples.count = samples.count * DECAY + 1
+        samples.total_steps = samples.total_steps * DECAY + steps
 
-    def hear(self, service: str, profile: Profile) -> None:
+    def set_remote(self, service: str, profile: Profile) -> None:
         """Take what another instance has learnt of a service."""
-        self._told[service] = profile
-        self._known.pop(service, None)
+        self._remote[service] = profile
+        self._cache.pop(service, None)
 
     def get(self, service: str) -> Profile:
         """Return the profile of a service."""
-        known = self._known.get(service)
+        known = self._cache.get(service)
         if known is None:
-            known = self._known[service] = self._make(service)
+            known = self._cache[service] = self._compute(service)
         return known
 
-    def list_learnt(self) -> list[tuple[str, float, float, float]]:
+    def make_report_rows(self) -> list[tuple[str, float, float, float]]:
         """Return what this instance has learnt, in the form that is told."""
         rows = []
-        for service, learnt in self._learnt.items():
-            if learnt.samples >= MIN_SAMPLES and learnt.line.fit():
-                found = self.get(service)
-                row = (found.begin, found.read, found.stay)
+        for service, samples in self._samples.items():
+            if samples.count >= MIN_SAMPLES and samples.line.fit():
+                profile = self.get(service)
+                row = (
+                    profile.base_steps,
+                    profile.steps_per_token,
+                    profile.total_steps,
+                )
                 rows.append((service, *row))
         return rows
 
-    def _make(self, service: str) -> Profile:
-        start = self._told.get(service, START)
-        learnt = self._learnt.get(service)
-        if learnt is None:
-            return start
-        begin, read, stay = start.begin, start.read, start.stay
-        line = learnt.line.fit()
+    def _compute(self, service: str) -> Profile:
+        default = self._remote.get(service, DEFAULT_PROFILE)
+        samples = self._samples.get(service)
+        if samples is None:
+            return default
+        base_steps, steps_per_token, total_steps = (
+            default.base_steps,
+            default.steps_per_token,
+            default.total_steps,
+        )
+        line = samples.line.fit()
         if line is not None:
-            begin, read = line
-        if learnt.samples >= MIN_SAMPLES:
-            stay = learnt.stays / learnt.samples
-        return Profile(begin=begin, read=read, stay=stay)
-
-    def _find(self, service: str) -> _Learnt:
-        self._known.pop(service, None)
-        learnt = self._learnt.get(service)
-        if learnt is None:
-            learnt = self._learnt[service] = _Learnt(_Line())
-        return learnt
+            base_steps, steps_per_token = line
+        if samples.count >= MIN_SAMPLES:
+            total_steps = samples.total_steps / samples.count
+        return Profile(
+            base_steps=base_steps,
+            steps_per_token=steps_per_token,
+            total_steps=total_steps,
+        )
+
+    def _get_samples(self, service: str) -> _ServiceSamples:
+        self._cache.pop(service, None)
+        samples = self._samples.get(service)
+        if samples is None:
+            samples = self._samples[service] = _ServiceSamples(_LinearFit())
+        return samples
--- a/citronport/scheduler/direct/quota.py
+++ b/citronport/scheduler/direct/quota.py
@@ -18,24 +18,24 @@
 pass between two reports.
 """
 
-LAG_SHARE = 0.3
+TOLERANCE_SHARE_PER_LAG_SECOND = 0.3
 """Part of the tolerance that is kept back for each second between reports."""
 
 MIN_TOLERANCE_SHARE = 0.5
 """Part of the tolerance that is used however late the reports are."""
 
-RETRY_FLOOR_SECONDS = 0.1
+MIN_RETRY_SECONDS = 0.1
 """Shortest time to come back, so that a caller does not spin."""
 
-RETRY_CEILING_SECONDS = 5.0
+MAX_RETRY_SECONDS = 5.0
 """Longest time to come back; a caller waits for a part of its deadline."""
 
 
-NEW_SECONDS = 2.0
+STARTUP_SECONDS = 2.0
 """How long an instance counts as new: it and the others hear each other
 within a report or two, half a second in a fleet of seven."""
 
-NEW_INSTANCES = 8
+MIN_STARTUP_INSTANCES = 8
 """Instances among which a new one divides limits, at least."""
 
 MAJORITY = 0.5
@@ -99,13 +99,13 @@
         if workspace.rate <= 0:
             return None
         age = now - self._started
-        if age < NEW_SECONDS and self._usage.is_alone:
-            rate, burst = divide(workspace, instances)
+        if age < STARTUP_SECONDS and self._usage.has_no_reports:
+            rate, burst = compute_startup_share(workspace, instances)
         else:
-            rate, burst = self._share(workspace, reach, lag)
+            rate, burst = self._compute_share(workspace, reach, lag)
         bucket = self._buckets.get(workspace.name)
         if bucket is None:
-            level = divide(workspace, instances)[1] + age * rate
+            level = compute_startup_share(workspace, instances)[1] + age * rate
             bucket = bucket_module.Bucket(min(burst, level), now)
             self._buckets[workspace.name] = bucket
         bucket.refill(rate, burst, lag, now)
@@ -115,7 +115,9 @@
         # is something left may pass; what it takes beyond that is paid by
         # those that come after it.
         needed = min(1.0, units)
-        if bucket.level >= needed and bucket.has_part(instances, lag, now):
+        if bucket.level >= needed and bucket.has_local_share(
+            instances, lag, now
+        ):
             bucket.take(units, lag, now)
             self._usage.add(workspace.name, units)
             return None
@@ -123,11 +125,11 @@
         # all hear when the next unit is free come back at once, and all but
         # one are refused again. Each is told a later time than the one
         # before, at the pace at which the limit lets them pass.
-        wait = (needed - bucket.level + bucket.promised) / rate
-        bucket.promised += units
-        return min(max(wait, RETRY_FLOOR_SECONDS), RETRY_CEILING_SECONDS)
+        wait = (needed - bucket.level + bucket.reserved) / rate
+        bucket.reserved += units
+        return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
-    def hear(
+    def apply_totals(
         self,
         sender: str,
         incarnation: str,
@@ -142,14 +144,16 @@
             totals: its running totals by workspace.
             now: clock time, seconds.
         """
-        self._charge(self._usage.hear(sender, incarnation, totals), now)
+        self._charge(
+            self._usage.apply_totals(sender, incarnation, totals), now
+        )
 
-    def hear_sums(
+    def apply_data_centre_totals(
         self,
         data_centre: str,
         envoy: str,
         incarnation: str,
-        sums: usage.Units,
+        totals: usage.Units,
         now: float,
     ) -> None:
         """Charge what another data centre has let pass since its last word.
@@ -158,30 +162,30 @@
             data_centre: whose instances let it pass.
             envoy: the instance there that tells.
             incarnation: of that start of it.
-            sums: its ``get_sums``.
+            totals: its ``get_data_centre_totals``.
             now: clock time, seconds.
         """
-        passed = self._usage.hear_sums(
-            data_centre, envoy, incarnation, sums, now
+        passed = self._usage.apply_data_centre_totals(
+            data_centre, envoy, incarnation, totals, now
         )
         self._charge(passed, now)
 
     def get_totals(self) -> usage.Units:
         """Return what this instance has let pass, by workspace."""
-        return self._usage.get_own()
+        return self._usage.get_own_totals()
 
-    def get_sums(self) -> usage.Units:
+    def get_data_centre_totals(self) -> usage.Units:
         """Return what its data centre has let pass, by workspace."""
-        return self._usage.get_sums()
+        return self._usage.get_data_centre_totals()
 
     def _charge(self, passed: usage.Units, now: float) -> None:
         for name, units in passed.items():
             bucket = self._buckets.get(name)
             if bucket is not None:
                 bucket.level -= units
-                bucket.note_flow(max(0.0, units), now)
+                bucket.record_usage(max(0.0, units), now)
 
-    def give_back(self, workspace: models.Workspace, units: float) -> None:
+    def refund(self, workspace: models.Workspace, units: float) -> None:
         """Undo an admission whose request was refused and has not run.
 
         Load: full endpoints. Harm: callers that are told to come back
@@ -193,7 +197,7 @@
         bucket.level += units
         self._usage.add(workspace.name, -units)
 
-    def _share(
+    def _compute_share(
         self, workspace: models.Workspace, reach: float, lag: float
     ) -> tuple[float, float]:
         """Return the rate and burst that this instance may count on.
@@ -206,7 +210,10 @@
         their share.
         """
         if reach > MAJORITY:
-            used = max(MIN_TOLERANCE_SHARE, TOLERANCE_SHARE - LAG_SHARE * lag)
+            used = max(
+                MIN_TOLERANCE_SHARE,
+                TOLERANCE_SHARE - TOLERANCE_SHARE_PER_LAG_SECOND * lag,
+            )
             others = (1.0 - reach) * MINORITY_SHARE
             over = max(1.0, 1.0 + self._over * used - others)
             slack = self._slack * used
@@ -215,7 +222,9 @@
         return workspace.rate * over, workspace.burst * over + slack
 
 
-def divide(workspace: models.Workspace, instances: int) -> tuple[float, float]:
+def compute_startup_share(
+    workspace: models.Workspace, instances: int
+) -> tuple[float, float]:
     """Return the rate and burst of an instance that has just started.
 
     Load: all instances are killed and start again while one workspace is
@@ -224,5 +233,5 @@
     begins with its part of a burst, and keeps to its part of the rate
     until it hears another one.
     """
-    share = 1.0 / max(NEW_INSTANCES, instances)
+    share = 1.0 / max(MIN_STARTUP_INSTANCES, instances)
     return workspace.rate * share, workspace.burst * share
--- a/citronport/scheduler/direct/retries.py
+++ b/citronport/scheduler/direct/retries.py
@@ -5,14 +5,14 @@
 WINDOW_SECONDS = 10.0
 """Span over which sends are counted when the settings tell none."""
 
-SENDERS = 16
+MIN_INSTANCES = 16
 """Instances among which the fixed part of the budget is divided.
 
 Above the seven of today and the four that may be added; an instance that
 can't hear the others then still keeps the sum within the bound.
 """
 
-SAFE_SHARE = 0.75
+SAFETY_FACTOR = 0.75
 """Part of the allowed ratio that is used.
 
 The windows of the bound slide over sends as endpoints see them, a few
@@ -37,13 +37,13 @@
     def __init__(
         self, ratio: float, extra: float, window: float = WINDOW_SECONDS
     ) -> None:
-        self._ratio = ratio * SAFE_SHARE
-        self._extra = extra * SAFE_SHARE
+        self._ratio = ratio * SAFETY_FACTOR
+        self._extra = extra * SAFETY_FACTOR
         self._window = window
         self._firsts: collections.deque[float] = collections.deque()
         self._repeats: collections.deque[float] = collections.deque()
 
-    def note_first(self, now: float) -> None:
+    def record_first(self, now: float) -> None:
         """Count the first send of a request."""
         self._firsts.append(now)
         self._trim(now)
@@ -56,7 +56,7 @@
             now: clock time, seconds.
         """
         self._trim(now)
-        share = self._extra / max(SENDERS, instances)
+        share = self._extra / max(MIN_INSTANCES, instances)
         if len(self._repeats) + 1 > share + self._ratio * len(self._firsts):
             return False
         self._repeats.append(now)
--- a/citronport/scheduler/direct/shares.py
+++ b/citronport/scheduler/direct/roles.py
@@ -21,4 +21,4 @@
     """The instance that hands out the places of the endpoint."""
 
 
-Share = Sender | Owner
+Role = Sender | Owner
--- a/citronport/scheduler/direct/runs.py
+++ b/citronport/scheduler/direct/runs.py
@@ -3,15 +3,15 @@
 import dataclasses
 import enum
 
-PACE_SECONDS = 0.001
+SECONDS_PER_MS = 0.001
 """Unit of a pace: the time of one step of an engine, in which each running
 request gets a token, in milliseconds."""
 
-PACE_EVENTS = 4
+SPAN_EVENTS = 4
 """Events over which a pace is measured. Shorter spans are coarse, since
 events that arrive together carry no time between them."""
 
-PACE_SPANS = 4
+SPANS_PER_SAMPLE = 4
 """Spans of which the smallest counts: sixteen events, a third of a second
 on a common engine, hardly ever all hold the reading of a prompt."""
 
@@ -50,27 +50,29 @@
 
     request_id: str
     prompt_tokens: int
-    sent: float
-    first: float | None = None
+    sent_at: float
+    first_event_at: float | None = None
     events: int = 0
-    mark: float = 0.0
-    mark_events: int = 0
+    span_started_at: float = 0.0
+    span_start_events: int = 0
     spans: int = 0
-    best: float | None = None
-    last: float = 0.0
-    longest: float = 0.0
-    taken: float = 0.0
+    min_event_seconds: float | None = None
+    last_event_at: float = 0.0
+    longest_gap: float = 0.0
+    answer_seconds: float = 0.0
     verdict: Verdict = Verdict.NOTHING
     service: str = ""
-    ahead: int = 0
+    prefill_backlog: int = 0
 
-    def begin(self, events: int, now: float) -> None:
+    def record_first_event(self, events: int, now: float) -> None:
         """Take the first events of a stream."""
-        self.first = self.mark = self.last = now
-        self.mark_events = 0
+        self.first_event_at = self.span_started_at = self.last_event_at = now
+        self.span_start_events = 0
         self.events = events - 1
 
-    def measure(self, events: int, tokens: int, now: float) -> float | None:
+    def record_events(
+        self, events: int, tokens: int, now: float
+    ) -> float | None:
         """Take later events; return the pace of the engine now and then.
 
         Args:
@@ -81,20 +83,24 @@
         Returns:
             Milliseconds a step; None until enough events have come.
         """
-        self.longest = max(self.longest, now - self.last)
-        self.last = now
+        self.longest_gap = max(self.longest_gap, now - self.last_event_at)
+        self.last_event_at = now
         self.events += events
-        span = self.events - self.mark_events
-        if span < PACE_EVENTS:
+        span = self.events - self.span_start_events
+        if span < SPAN_EVENTS:
             return None
-        each = (now - self.mark) / span
-        self.mark, self.mark_events = now, self.events
+        event_seconds = (now - self.span_started_at) / span
+        self.span_started_at, self.span_start_events = now, self.events
         self.spans += 1
         # The smallest of several spans: longer ones hold the reading of
         # others' prompts, which is load and not pace.
-        self.best = each if self.best is None else min(self.best, each)
-        if self.spans < PACE_SPANS:
+        self.min_event_seconds = (
+            event_seconds
+            if self.min_event_seconds is None
+            else min(self.min_event_seconds, event_seconds)
+        )
+        if self.spans < SPANS_PER_SAMPLE:
             return None
-        pace = self.best / (tokens * PACE_SECONDS)
-        self.best, self.spans = None, 0
-        return pace
+        step_ms = self.min_event_seconds / (tokens * SECONDS_PER_MS)
+        self.min_event_seconds, self.spans = None, 0
+        return step_ms
--- a/citronport/scheduler/direct/selection.py
+++ b/citronport/scheduler/direct/selection.py
@@ -4,13 +4,13 @@
 import dataclasses
 import math
 
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
+from citronport.scheduler.direct import roles
 from citronport.scheduler.direct import runs
-from citronport.scheduler.direct import shares
 
 SPARE_REQUESTS = 1
 """Requests beyond an endpoint's slots that may be sent there.
@@ -20,18 +20,18 @@
 slot is on its way.
 """
 
-FAILURE_SECONDS = 2.0
+FAILURE_PENALTY_SECONDS = 2.0
 """What a certain failure counts against waiting, seconds."""
 
-MIN_STAY_SECONDS = 0.001
+MIN_OCCUPANCY_SECONDS = 0.001
 """Shortest time that a place is taken to be held."""
 
-FULL_VIEW_INSTANCES = 12
+MAX_FULL_SAMPLE_INSTANCES = 12
 """Instances up to which each looks at all endpoints: their reports are 0.15
 s old at most, about what a prompt takes to read."""
 
 
-def count_candidates(endpoints: int, instances: int) -> int:
+def compute_sample_size(endpoints: int, instances: int) -> int:
     """Return how many endpoints, drawn by chance, one choice looks at.
 
     Load: sixty instances whose reports are 0.7 s old. Harm: all see the
@@ -39,12 +39,12 @@
     later. Each looks at a few endpoints drawn by chance, so that about as
     many instances see one as are able to hear of each other in time.
     """
-    share = min(1.0, FULL_VIEW_INSTANCES / max(1, instances))
+    share = min(1.0, MAX_FULL_SAMPLE_INSTANCES / max(1, instances))
     return max(1, math.ceil(endpoints * share))
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
+class Placement:
     """An endpoint that may take a request now.
 
     Attributes:
@@ -70,12 +70,12 @@
 
     def __init__(
         self,
-        board: board_module.Board,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
-        cold: cold_module.ColdStarts,
+        cold: cold_starts.ColdStarts,
         limits: endpoint_limits.EndpointLimits,
     ) -> None:
-        self._board = board
+        self._loads = loads
         self._health = health
         self._cold = cold
         self._limits = limits
@@ -86,7 +86,7 @@
         service: models.Service,
         endpoints: collections.abc.Iterable[models.Endpoint],
         now: float,
-    ) -> Place | None:
+    ) -> Placement | None:
         """Return the best of some endpoints that have room, or None.
 
         Load: unlike engines that admit in order of arrival. Harm: a
@@ -99,31 +99,31 @@
             endpoints: those with room, see ``has_room``.
             now: clock time, seconds.
         """
-        best: Place | None = None
+        best: Placement | None = None
         for endpoint in endpoints:
             seconds = self.estimate(work, service, endpoint)
-            cost = seconds + self._weigh(endpoint, now)
+            cost = seconds + self._compute_penalty(endpoint, now)
             if best is None or cost < best.cost:
-                best = Place(endpoint=endpoint, seconds=seconds, cost=cost)
+                best = Placement(endpoint=endpoint, seconds=seconds, cost=cost)
         return best
 
-    def has_room(
+    def has_capacity(
         self,
         endpoint: models.Endpoint,
         service: models.Service,
-        share: shares.Share,
+        role: roles.Role,
         now: float,
     ) -> bool:
         """Return whether an endpoint may get one more request now."""
         name = endpoint.name
-        requests = self._board.count_requests(name)
+        requests = self._loads.count_requests(name)
         if requests >= endpoint.slots + SPARE_REQUESTS:
             return False
         if not self._health.may_use(name, now):
             return False
-        if not self._cold.may_send(name, share, service.cold_rate, now):
+        if not self._cold.may_send(name, role, service.cold_rate, now):
             return False
-        return self._limits.may_send(name, share, now)
+        return self._limits.may_send(name, role, now)
 
     def estimate(
         self,
@@ -132,18 +132,20 @@
         endpoint: models.Endpoint,
     ) -> float:
         """Return the expected time to the first event, seconds."""
-        load = self._board.get_load(endpoint.name)
-        ahead = max(0, load.requests + 1 - endpoint.slots)
+        load = self._loads.get_load(endpoint.name)
+        queued = max(0, load.requests + 1 - endpoint.slots)
         if service.engine is None:
-            each = self._board.get_answer_seconds(endpoint.name)
-            return each * (1 + ahead / endpoint.slots)
-        profile = self._board.profiles.get(service.name)
-        step = self._get_step(endpoint)
-        wait = step * ahead * profile.stay / endpoint.slots
-        tokens = load.unread + work.prompt_tokens
-        return wait + step * (profile.begin + profile.read * tokens)
-
-    def compute_places(
+            answer_seconds = self._loads.get_answer_seconds(endpoint.name)
+            return answer_seconds * (1 + queued / endpoint.slots)
+        profile = self._loads.profiles.get(service.name)
+        step = self._get_step_seconds(endpoint)
+        wait = step * queued * profile.total_steps / endpoint.slots
+        tokens = load.prefill_backlog + work.prompt_tokens
+        return wait + step * (
+            profile.base_steps + profile.steps_per_token * tokens
+        )
+
+    def compute_slot_rate(
         self,
         service: models.Service,
         endpoints: collections.abc.Iterable[models.Endpoint],
@@ -153,29 +155,32 @@
         Endpoints that are out of reach at the moment count: most are back
         before a request's patience is over.
         """
-        return sum(self._compute_rate(service, e) for e in endpoints)
+        return sum(self._compute_endpoint_rate(service, e) for e in endpoints)
 
-    def _compute_rate(
+    def _compute_endpoint_rate(
         self, service: models.Service, endpoint: models.Endpoint
     ) -> float:
-        stay = max(MIN_STAY_SECONDS, self._get_stay(service, endpoint))
-        rate = endpoint.slots / stay
+        occupancy = max(
+            MIN_OCCUPANCY_SECONDS,
+            self._get_occupancy_seconds(service, endpoint),
+        )
+        rate = endpoint.slots / occupancy
         limit = self._limits.get_rate(endpoint.name)
         return rate if limit is None else min(rate, limit)
 
-    def _get_stay(
+    def _get_occupancy_seconds(
         self, service: models.Service, endpoint: models.Endpoint
     ) -> float:
         if service.engine is None:
-            return self._board.get_answer_seconds(endpoint.name)
-        profile = self._board.profiles.get(service.name)
-        return profile.stay * self._get_step(endpoint)
+            return self._loads.get_answer_seconds(endpoint.name)
+        profile = self._loads.profiles.get(service.name)
+        return profile.total_steps * self._get_step_seconds(endpoint)
 
-    def _get_step(self, endpoint: models.Endpoint) -> float:
-        pace = self._board.get_pace(endpoint.name)
-        return pace * runs.PACE_SECONDS
+    def _get_step_seconds(self, endpoint: models.Endpoint) -> float:
+        step_ms = self._loads.get_step_ms(endpoint.name)
+        return step_ms * runs.SECONDS_PER_MS
 
-    def _weigh(self, endpoint: models.Endpoint, now: float) -> float:
+    def _compute_penalty(self, endpoint: models.Endpoint, now: float) -> float:
         name = endpoint.name
-        failures = self._health.get_failures(name, now)
-        return failures * FAILURE_SECONDS
+        failure_share = self._health.get_failure_share(name, now)
+        return failure_share * FAILURE_PENALTY_SECONDS
--- a/citronport/scheduler/direct/suspects.py
+++ b/citronport/scheduler/direct/suspects.py
@@ -4,17 +4,17 @@
 import dataclasses
 import zlib
 
+from citronport.scheduler.direct import announcements
 from citronport.scheduler.direct import models
-from citronport.scheduler.direct import telling
 
-MAX_ENDS = 3
+BAR_THRESHOLD = 3
 """Endpoints that may end under a request before it is barred. Each of them
 ends under all that it runs, and one or two of those are there by chance."""
 
 KEEP_SECONDS = 600.0
 """How long a request is remembered that nobody repeats."""
 
-MAX_KEPT = 2048
+MAX_SUSPECTS = 2048
 """Requests remembered at once."""
 
 NEVER = float("-inf")
@@ -36,31 +36,33 @@
         seen: when an endpoint last ended under it or a barred one came.
     """
 
-    ends: dict[int, float] = dataclasses.field(default_factory=dict)
-    whole: float = NEVER
-    seen: float = NEVER
+    crashes: dict[int, float] = dataclasses.field(default_factory=dict)
+    completed_at: float = NEVER
+    last_seen: float = NEVER
 
     @property
     def is_barred(self) -> bool:
-        return len(self.ends) >= MAX_ENDS
+        return len(self.crashes) >= BAR_THRESHOLD
 
-    def add(self, start: int, at: float) -> bool:
+    def add_crash(self, start: int, at: float) -> bool:
         """Add an end; return whether that is news."""
-        if self.is_barred or at <= self.whole or start in self.ends:
+        if self.is_barred or at <= self.completed_at or start in self.crashes:
             return False
-        self.ends[start] = at
+        self.crashes[start] = at
         return True
 
-    def clear(self, at: float) -> bool:
+    def clear_crashes(self, at: float) -> bool:
         """Take a whole answer; return whether it excuses an end."""
-        ends = {start: end for start, end in self.ends.items() if end > at}
-        self.whole = max(self.whole, at)
-        is_news = len(ends) < len(self.ends)
-        self.ends = ends
-        return is_news
+        crashes = {
+            start: end for start, end in self.crashes.items() if end > at
+        }
+        self.completed_at = max(self.completed_at, at)
+        changed = len(crashes) < len(self.crashes)
+        self.crashes = crashes
+        return changed
 
 
-class Suspects:
+class SuspectRequests:
     """Which requests end the endpoints that run them.
 
     Load: a request that crashes each endpoint which begins to run it, and
@@ -73,9 +75,9 @@
     def __init__(self) -> None:
         self._suspects: dict[str, _Suspect] = {}
         self._barred: dict[str, None] = {}
-        self._telling = telling.Telling()
+        self._announcements = announcements.Announcements()
 
-    def note_end(
+    def record_crash(
         self, fingerprint: str, endpoint: models.Endpoint, now: float
     ) -> bool:
         """Note that an endpoint ended while it had a request.
@@ -85,69 +87,75 @@
         """
         suspect = self._find(fingerprint)
         was_barred = suspect.is_barred
-        suspect.seen = now
-        if suspect.add(_digest(endpoint), now):
-            self._note_change(fingerprint, suspect, now)
+        suspect.last_seen = now
+        if suspect.add_crash(_compute_start_hash(endpoint), now):
+            self._record_change(fingerprint, suspect, now)
         self._trim()
         return suspect.is_barred and not was_barred
 
-    def note_whole(self, fingerprint: str, now: float) -> None:
+    def record_completion(self, fingerprint: str, now: float) -> None:
         """Note that a request was answered whole: it ends no endpoint."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is not None and suspect.clear(now):
-            self._note_change(fingerprint, suspect, now)
+        if suspect is not None and suspect.clear_crashes(now):
+            self._record_change(fingerprint, suspect, now)
 
     def is_barred(self, fingerprint: str, now: float) -> bool:
         """Return whether a request that came must not be sent."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.is_barred:
             return False
-        suspect.seen = now
+        suspect.last_seen = now
         return True
 
     def count_barred(self) -> int:
         """Return how many requests are barred."""
         return len(self._barred)
 
-    def list_told(self, now: float, most: int = telling.MAX_NEWS) -> list[Row]:
+    def list_updates(
+        self, now: float, max_changes: int = announcements.MAX_CHANGES
+    ) -> list[Row]:
         """Return what to tell other instances now.
 
         Args:
             now: clock time, seconds.
-            most: changes to tell at once.
+            max_changes: changes to tell at once.
         """
-        told = self._telling.choose(self._barred, now, most)
-        return [_make_row(f, self._suspects[f], now) for f in told]
+        selected = self._announcements.select(self._barred, now, max_changes)
+        return [_make_row(f, self._suspects[f], now) for f in selected]
 
-    def hear(self, rows: collections.abc.Iterable[Row], now: float) -> None:
+    def apply_updates(
+        self, rows: collections.abc.Iterable[Row], now: float
+    ) -> None:
         """Take what another instance tells."""
-        for fingerprint, seen, whole, ends in rows:
+        for fingerprint, seen_age, completed_age, crashes in rows:
             suspect = self._find(fingerprint)
-            suspect.seen = max(suspect.seen, now - seen / 1000)
-            is_news = whole >= 0 and suspect.clear(now - whole / 1000)
-            for start, age in ends:
-                is_news |= suspect.add(start, now - age / 1000)
-            if is_news:
-                self._note_change(fingerprint, suspect, now)
+            suspect.last_seen = max(suspect.last_seen, now - seen_age / 1000)
+            changed = completed_age >= 0 and suspect.clear_crashes(
+                now - completed_age / 1000
+            )
+            for start, age in crashes:
+                changed |= suspect.add_crash(start, now - age / 1000)
+            if changed:
+                self._record_change(fingerprint, suspect, now)
         self._trim()
 
-    def sweep(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Forget what nobody has asked for in a while."""
-        over = [
+        expired = [
             fingerprint
             for fingerprint, suspect in self._suspects.items()
-            if now - suspect.seen > KEEP_SECONDS
+            if now - suspect.last_seen > KEEP_SECONDS
         ]
-        for fingerprint in over:
+        for fingerprint in expired:
             self._forget(fingerprint)
 
     def _find(self, fingerprint: str) -> _Suspect:
         return self._suspects.setdefault(fingerprint, _Suspect())
 
-    def _note_change(
+    def _record_change(
         self, fingerprint: str, suspect: _Suspect, now: float
     ) -> None:
-        self._telling.note_change(fingerprint, now)
+        self._announcements.record_change(fingerprint, now)
         if suspect.is_barred:
             self._barred[fingerprint] = None
         else:
@@ -156,10 +164,10 @@
     def _forget(self, fingerprint: str) -> None:
         del self._suspects[fingerprint]
         self._barred.pop(fingerprint, None)
-        self._telling.drop(fingerprint)
+        self._announcements.drop(fingerprint)
 
     def _trim(self) -> None:
-        if len(self._suspects) <= MAX_KEPT:
+        if len(self._suspects) <= MAX_SUSPECTS:
             return
         # Several at once, so that a crash of many endpoints does not sort
         # all of them for each request that was there.
@@ -167,25 +175,25 @@
             self._suspects,
             key=lambda f: (
                 self._suspects[f].is_barred,
-                self._suspects[f].seen,
+                self._suspects[f].last_seen,
             ),
         )
-        for fingerprint in ranked[: MAX_KEPT // 8]:
+        for fingerprint in ranked[: MAX_SUSPECTS // 8]:
             self._forget(fingerprint)
 
 
-def _digest(endpoint: models.Endpoint) -> int:
-    name, started = endpoint.start
+def _compute_start_hash(endpoint: models.Endpoint) -> int:
+    name, started = endpoint.start_id
     return zlib.crc32(f"{name} {started}".encode())
 
 
 def _make_row(fingerprint: str, suspect: _Suspect, now: float) -> Row:
-    def count_age(at: float) -> int:
+    def compute_age(at: float) -> int:
         return -1 if at == NEVER else max(0, round((now - at) * 1000))
 
     return (
         fingerprint,
-        count_age(suspect.seen),
-        count_age(suspect.whole),
-        [(start, count_age(at)) for start, at in suspect.ends.items()],
+        compute_age(suspect.last_seen),
+        compute_age(suspect.completed_at),
+        [(start, compute_age(at)) for start, at in suspect.crashes.items()],
     )
--- a/citronport/scheduler/direct/usage.py
+++ b/citronport/scheduler/direct/usage.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-ENVOY_SECONDS = 0.7
+ENVOY_TIMEOUT_SECONDS = 0.7
 """How long the envoy of another data centre may be silent until the next one
 is believed: two of its summaries got lost."""
 
@@ -11,55 +11,60 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Told:
+class _Reporter:
     incarnation: str
-    units: Units
-    at: float = 0.0
+    totals: Units
+    reported_at: float = 0.0
 
-    def take(self, incarnation: str, units: Units) -> Units:
+    def update(self, incarnation: str, totals: Units) -> Units:
         """Take new totals; return by how much they have grown.
 
         One that has started anew counts from nothing. A total falls where
         a request was refused after all.
         """
-        known = self.units if self.incarnation == incarnation else {}
-        grown = {
-            name: total - known.get(name, 0.0) for name, total in units.items()
+        known = self.totals if self.incarnation == incarnation else {}
+        increase = {
+            name: total - known.get(name, 0.0)
+            for name, total in totals.items()
         }
         self.incarnation = incarnation
-        self.units = dict(units)
-        return grown
+        self.totals = dict(totals)
+        return increase
 
 
 class Usage:
     """Running totals: of this instance, of its data centre, of others."""
 
     def __init__(self) -> None:
-        self._own: Units = {}
-        self._sums: Units = {}
-        self._instances: dict[str, _Told] = {}
-        self._envoys: dict[tuple[str, str], _Told] = {}
-        self._believed: dict[str, tuple[str, float]] = {}
+        self._own_totals: Units = {}
+        self._data_centre_totals: Units = {}
+        self._instances: dict[str, _Reporter] = {}
+        self._envoys: dict[tuple[str, str], _Reporter] = {}
+        self._active_envoys: dict[str, tuple[str, float]] = {}
 
     @property
-    def is_alone(self) -> bool:
+    def has_no_reports(self) -> bool:
         """Whether nobody has told anything yet."""
         return not self._instances and not self._envoys
 
-    def get_own(self) -> Units:
+    def get_own_totals(self) -> Units:
         """Return what this instance has let pass since its start."""
-        return self._own
+        return self._own_totals
 
-    def get_sums(self) -> Units:
+    def get_data_centre_totals(self) -> Units:
         """Return what this data centre has let pass, as heard here."""
-        return self._sums
+        return self._data_centre_totals
 
     def add(self, workspace: str, units: float) -> None:
         """Count what this instance lets pass; less than 0 takes it back."""
-        self._own[workspace] = self._own.get(workspace, 0.0) + units
-        self._add_sum(workspace, units)
+        self._own_totals[workspace] = (
+            self._own_totals.get(workspace, 0.0) + units
+        )
+        self._add_to_data_centre(workspace, units)
 
-    def hear(self, sender: str, incarnation: str, totals: Units) -> Units:
+    def apply_totals(
+        self, sender: str, incarnation: str, totals: Units
+    ) -> Units:
         """Take the totals of an instance of this data centre.
 
         Load: an instance that has just started, among others that run for
@@ -70,21 +75,21 @@
         Returns:
             What has passed there since its last word.
         """
-        told = self._instances.get(sender)
-        if told is None:
-            self._instances[sender] = _Told(incarnation, dict(totals))
+        reporter = self._instances.get(sender)
+        if reporter is None:
+            self._instances[sender] = _Reporter(incarnation, dict(totals))
             return {}
-        grown = told.take(incarnation, totals)
-        for name, units in grown.items():
-            self._add_sum(name, units)
-        return grown
+        increase = reporter.update(incarnation, totals)
+        for name, units in increase.items():
+            self._add_to_data_centre(name, units)
+        return increase
 
-    def hear_sums(
+    def apply_data_centre_totals(
         self,
         data_centre: str,
         envoy: str,
         incarnation: str,
-        sums: Units,
+        totals: Units,
         now: float,
     ) -> Units:
         """Take the sums of another data centre from one of its envoys.
@@ -98,23 +103,27 @@
         Returns:
             What has passed there since the last word of the believed one.
         """
-        believed, spoke = self._believed.setdefault(data_centre, (envoy, now))
-        told = self._envoys.get((data_centre, envoy))
-        if told is None:
+        active, reported_at = self._active_envoys.setdefault(
+            data_centre, (envoy, now)
+        )
+        reporter = self._envoys.get((data_centre, envoy))
+        if reporter is None:
             # Its sums tell nothing without earlier ones to compare with;
             # the envoy next in line knows where the silent one stopped.
-            self._envoys[data_centre, envoy] = _Told(
-                incarnation, dict(sums), now
+            self._envoys[data_centre, envoy] = _Reporter(
+                incarnation, dict(totals), now
             )
             return {}
-        if envoy == believed or now - spoke > ENVOY_SECONDS:
-            self._believed[data_centre] = (envoy, now)
-            told.at = now
-            return told.take(incarnation, sums)
-        if spoke >= told.at:
-            told.take(incarnation, sums)
-            told.at = now
+        if envoy == active or now - reported_at > ENVOY_TIMEOUT_SECONDS:
+            self._active_envoys[data_centre] = (envoy, now)
+            reporter.reported_at = now
+            return reporter.update(incarnation, totals)
+        if reported_at >= reporter.reported_at:
+            reporter.update(incarnation, totals)
+            reporter.reported_at = now
         return {}
 
-    def _add_sum(self, workspace: str, units: float) -> None:
-        self._sums[workspace] = self._sums.get(workspace, 0.0) + units
+    def _add_to_data_centre(self, workspace: str, units: float) -> None:
+        self._data_centre_totals[workspace] = (
+            self._data_centre_totals.get(workspace, 0.0) + units
+        )
--- a/citronport/scheduler/direct/waiting.py
+++ b/citronport/scheduler/direct/wait_queue.py
@@ -6,14 +6,14 @@
 
 from citronport.scheduler.direct import models
 
-PATIENCE_OBJECTIVES = 2.0
+MAX_WAIT_OBJECTIVES = 2.0
 """How long a request may wait, in its objectives. Callers of streams leave
 after four objectives at most; the rest is for the endpoint to begin."""
 
-PATIENCE_SHARE = 0.5
+MAX_WAIT_DEADLINE_SHARE = 0.5
 """Longest wait as a share of the time until the deadline."""
 
-RETRY_SECONDS = 0.5
+MIN_RETRY_AFTER_SECONDS = 0.5
 """When a request that waited in vain should come back, at least."""
 
 
@@ -30,27 +30,27 @@
     """
 
     work: models.Work
-    since: float
+    waiting_since: float
     tried: frozenset[str] = frozenset()
     handle: Any = None
     leased: bool = False
 
 
-def compute_patience(work: models.Work, now: float) -> float:
+def compute_max_wait(work: models.Work, now: float) -> float:
     """Return how long a request may wait from now, seconds."""
-    objective = PATIENCE_OBJECTIVES * work.route.objective
+    objective = MAX_WAIT_OBJECTIVES * work.route.objective
     left = work.deadline - now
     spent = now - work.arrived
-    return max(0.0, min(objective - spent, PATIENCE_SHARE * left))
+    return max(0.0, min(objective - spent, MAX_WAIT_DEADLINE_SHARE * left))
 
 
-def expect_at_once(work: models.Work) -> float:
+def expect_no_delay(work: models.Work) -> float:
     """Return no time at all until a first event, for plain services."""
     del work
     return 0.0
 
 
-class Queue:
+class WaitQueue:
     """Requests of one service that wait, most urgent first.
 
     Args:
@@ -60,10 +60,10 @@
     def __init__(
         self,
         expect: collections.abc.Callable[[models.Work], float] = (
-            expect_at_once
+            expect_no_delay
         ),
     ) -> None:
-        self._expect = expect
+        self._expect_first_event = expect
         self._waiters: list[Waiter] = []
 
     def __len__(self) -> int:
@@ -74,7 +74,7 @@
         """Let a request wait."""
         self._waiters.append(waiter)
 
-    def holds(self, waiter: Waiter) -> bool:
+    def contains(self, waiter: Waiter) -> bool:
         """Return whether a request still waits."""
         return waiter in self._waiters
 
@@ -83,7 +83,7 @@
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def list_in_order(self, now: float) -> list[Waiter]:
+    def list_by_urgency(self, now: float) -> list[Waiter]:
         """Return all, most urgent first.
 
         Load: more work than the endpoints take for some seconds. Harm: in
@@ -93,9 +93,13 @@
         it is still worth more than one in time of the next. Of one route
         those that can still be in time go before those that are late.
         """
-        return sorted(self._waiters, key=lambda w: self._make_rank(w, now))
+        return sorted(
+            self._waiters, key=lambda w: self._compute_sort_key(w, now)
+        )
 
-    def forecast(self, waiter: Waiter, places: float, now: float) -> float:
+    def estimate_wait(
+        self, waiter: Waiter, slot_rate: float, now: float
+    ) -> float:
         """Return how long a request will wait at least, seconds.
 
         Load: more work than the endpoints take, for longer than requests
@@ -108,20 +112,20 @@
 
         Args:
             waiter: the request; it may stand in the queue already.
-            places: that come free a second.
+            slot_rate: places that come free a second.
             now: clock time, seconds.
 
         Returns:
             The time; infinite if no place comes free.
         """
-        own = self._make_rank(waiter, now)
+        own = self._compute_sort_key(waiter, now)
         ahead = sum(
-            w is not waiter and self._make_rank(w, now) <= own
+            w is not waiter and self._compute_sort_key(w, now) <= own
             for w in self._waiters
         )
         if not ahead:
             return 0.0
-        return ahead / places if places > 0 else float("inf")
+        return ahead / slot_rate if slot_rate > 0 else float("inf")
 
     def match(
         self,
@@ -137,7 +141,7 @@
             is_full: whether nobody else can get a place.
         """
         matched = []
-        for waiter in self.list_in_order(now):
+        for waiter in self.list_by_urgency(now):
             if is_full():
                 break
             place = choose(waiter)
@@ -146,10 +150,10 @@
                 matched.append((waiter, place))
         return matched
 
-    def _make_rank(
+    def _compute_sort_key(
         self, waiter: Waiter, now: float
     ) -> tuple[int, int, bool, float]:
         work = waiter.work
-        begun = now + self._expect(work)
+        begun = now + self._expect_first_event(work)
         late = begun > work.arrived + work.route.objective
         return (work.tier, work.route.tier, late, work.arrived)
--- a/tests/platform/test_models.py
+++ b/tests/platform/test_models.py
@@ -82,7 +82,7 @@
         """Units become seconds, names the project's."""
         found = self.parse().unwrap()
         route = found.routes[0]
-        self.assertEqual(decisions.Repeat.STREAM, route.repeat)
+        self.assertEqual(decisions.RepeatPolicy.STREAM, route.repeat)
         self.assertEqual("shop.example", route.host)
         self.assertEqual(
             (15.0, 0.8, 0.25), (route.timeout, route.objective, route.max_gap)
@@ -127,7 +127,7 @@
     def test_whole(self):
         """The id comes from the key, times become seconds."""
         found = self.parse(born=1700).unwrap()
-        self.assertEqual(("i-1", 1700), found.start)
+        self.assertEqual(("i-1", 1700), found.start_id)
         self.assertEqual(1.5, found.cold_seconds)
         self.assertFalse(found.leaving)
         self.assertTrue(self.parse(state="draining").unwrap().leaving)
--- a/tests/relay/networks.py
+++ b/tests/relay/networks.py
@@ -40,7 +40,7 @@
         self.heard = collections.Counter()
         self.members = membership.Membership(self.name, self.data_centre)
         self.quotas = quota.Quotas()
-        self.suspects = suspects.Suspects()
+        self.suspects = suspects.SuspectRequests()
         self.limits = endpoint_limits.EndpointLimits()
         listeners = ("callers", "readiness", "lookups", "peers", "store")
         settings = settings_module.Settings(
@@ -88,19 +88,19 @@
             members=self.members.list_members(
                 self.network.ticker.now(), data_centre
             ),
-            suspects=self.suspects.list_told(self.network.ticker.now()),
-            limits=self.limits.list_told(self.network.ticker.now()),
+            suspects=self.suspects.list_updates(self.network.ticker.now()),
+            limits=self.limits.list_updates(self.network.ticker.now()),
         )
 
     def take_report(self, report):
         """Charge what a neighbour let pass."""
         if not self.members.is_far(report.data_centre):
             now = self.network.ticker.now()
-            self.quotas.hear(
+            self.quotas.apply_totals(
                 report.instance, report.incarnation, report.passed, now
             )
-            self.suspects.hear(report.suspects, now)
-            self.limits.hear(report.limits, now)
+            self.suspects.apply_updates(report.suspects, now)
+            self.limits.apply_updates(report.limits, now)
 
     def put(self, data, address):
         """Send a datagram."""
--- a/tests/relay/nodes.py
+++ b/tests/relay/nodes.py
@@ -30,7 +30,7 @@
         self.mirror = mirror_module.Mirror()
         self.members = membership.Membership(self.name, data_centre)
         self.quotas = quota.Quotas()
-        self.suspects = suspects.Suspects()
+        self.suspects = suspects.SuspectRequests()
         self.limits = endpoint_limits.EndpointLimits()
         ticker = clock.RuntimeClock()
         listeners = ("callers", "readiness", "lookups", "peers", "store")
--- a/tests/relay/samples.py
+++ b/tests/relay/samples.py
@@ -7,10 +7,10 @@
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import membership
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
 
 ENGINES = "engines"
@@ -23,7 +23,7 @@
         "name": "review",
         "host": "review.example",
         "prefix": "/review/",
-        "repeat": models.Repeat.STREAM,
+        "repeat": models.RepeatPolicy.STREAM,
         "timeout": 15.0,
         "objective": 0.8,
         "tier": 0,
@@ -118,9 +118,9 @@
 
     def __init__(self, endpoints, ticker=None, configuration=None, own="own"):
         self.ticker = ticker or clock.RuntimeClock()
-        self.board = board_module.Board()
+        self.board = load_tracker.LoadTracker()
         self.health = health_module.Health()
-        self.cold = cold_module.ColdStarts()
+        self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
         self.members = membership.Membership(own, "a")
         self.log = make_log(self.ticker)
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -45,7 +45,7 @@
             self.room.board,
             self.room.health,
             endpoint_limits.EndpointLimits(),
-            suspects.Suspects(),
+            suspects.SuspectRequests(),
             self.clock,
             self.room.log,
             metrics.Counts(),
--- a/tests/relay/test_cluster_state.py
+++ b/tests/relay/test_cluster_state.py
@@ -7,7 +7,7 @@
 from citronport import clock
 from citronport.platform import models as wire
 from citronport.relay import cluster_state as cluster_state_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from tests.platform import test_models as wire_samples
 from tests.relay import samples
 
@@ -20,7 +20,7 @@
     def setUp(self):
         """Make an empty world."""
         super().setUp()
-        self.cold = cold_module.ColdStarts()
+        self.cold = cold_starts.ColdStarts()
         self.forgotten = []
         self.cluster_state = cluster_state_module.ClusterState(
             self.cold,
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -90,7 +90,7 @@
         room = samples.Room(endpoints)
         for number in range(3):
             work = samples.make_work(f"t{number}", now=room.ticker.now())
-            room.board.note_sent("e2", work, room.ticker.now())
+            room.board.record_send("e2", work, room.ticker.now())
         route = samples.make_route(objective=0.02)
         work = samples.make_work("r", route, room.ticker.now())
         found = room.dispatcher.acquire(
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -126,7 +126,7 @@
         second = self.two.acquire("r2")
         self.assertTrue(first.leased and second.leased)
         self.assertEqual(2, self.owner.count())
-        self.assertEqual([], self.one.room.board.list_own())
+        self.assertEqual([], self.one.room.board.make_report_rows())
         first.run.verdict = runs.Verdict.GOOD
         self.one.room.dispatcher.release(first, "r1")
         self.settle()
--- a/tests/relay/test_news.py
+++ b/tests/relay/test_news.py
@@ -27,7 +27,7 @@
         rest = [n for n in names if n not in readers]
         self.resting = nodes.Node(self, int(rest[0][1:]), subnet)
         self.resting.follower.resting = True
-        tellers = fleet.ranking.choose(rest[0], readers, fleet.TELLERS)
+        tellers = fleet.rendezvous.choose(rest[0], readers, fleet.TELLERS)
         self.reader = nodes.Node(self, int(tellers[0][1:]), subnet)
         now = clock.RuntimeClock().now()
         for node in (self.reader, self.resting):
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -25,7 +25,7 @@
     def prepare(self, *endpoints, **route):
         """Return the parts for a route to some endpoints."""
         fields = {
-            "repeat": models.Repeat.IDEMPOTENT,
+            "repeat": models.RepeatPolicy.IDEMPOTENT,
             "shares": (models.Share(service=PLAIN, weight=1.0),),
             "timeout": 2.0,
             "max_endpoints": 2,
@@ -44,7 +44,7 @@
             ),
         )
         budget = retries.RetryBudget(1.0, 100.0)
-        self.suspects = suspects.Suspects()
+        self.suspects = suspects.SuspectRequests()
         room = self.room
         self.context = jobs.RelayContext(
             room.cluster_state,
@@ -141,9 +141,9 @@
         self.prepare(
             first,
             second,
-            repeat=models.Repeat.NON_IDEMPOTENT,
+            repeat=models.RepeatPolicy.NON_IDEMPOTENT,
         )
-        self.room.health.note_answer("e1", False, self.room.ticker.now())
+        self.room.health.record_answer("e1", False, self.room.ticker.now())
         self.assertEqual(502, self.ask())
         self.assertEqual(1, len(first.requests))
         self.assertEqual(0, len(second.requests))
@@ -152,13 +152,13 @@
         """An endpoint that is full says so: the request may go on."""
         full = fakes.Endpoint(self, fakes.answer(503, X_Not_Executed="1"))
         good = fakes.Endpoint(self, fakes.answer())
-        self.prepare(full, good, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(full, good, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(200, self.ask())
 
     def test_all_full_is_a_refusal_with_a_pause(self):
         """Nobody ran it: the caller may come back and hears when."""
         full = fakes.Endpoint(self, fakes.answer(503, X_Not_Executed="1"))
-        self.prepare(full, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(full, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(503, self.ask())
         self.assertIn("retry-after", self.started[-1][1])
 
@@ -166,7 +166,7 @@
         """Another endpoint has the address now and says so."""
         other = fakes.Endpoint(self, fakes.answer(421, signed=False))
         good = fakes.Endpoint(self, fakes.answer())
-        self.prepare(other, good, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(other, good, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(200, self.ask())
 
     def test_replaced_endpoint_draws_no_more_requests(self):
@@ -179,11 +179,14 @@
         other = fakes.Endpoint(self, fakes.answer(421, signed=False))
         full = fakes.Endpoint(self, fakes.answer())
         self.prepare(
-            other, full, repeat=models.Repeat.NON_IDEMPOTENT, objective=0.04
+            other,
+            full,
+            repeat=models.RepeatPolicy.NON_IDEMPOTENT,
+            objective=0.04,
         )
         for number in range(3):
             work = samples.make_work(f"t{number}")
-            self.room.board.note_sent("e1", work, 0.0)
+            self.room.board.record_send("e1", work, 0.0)
         for _ in range(3):
             self.assertEqual(503, self.ask())
         self.assertEqual(1, len(other.requests))
@@ -191,13 +194,13 @@
     def test_answer_to_another_request_is_not_passed_on(self):
         """A late answer of an earlier request comes: not this caller's."""
         crossed = fakes.Endpoint(self, fakes.answer(200, X_Attempt_Id="other"))
-        self.prepare(crossed, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(crossed, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(502, self.ask())
 
     def test_success_without_a_signature_is_no_success(self):
         """A faulty endpoint answers 200 unsigned."""
         forged = fakes.Endpoint(self, fakes.answer(200, signed=False))
-        self.prepare(forged, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(forged, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(502, self.ask())
 
     def test_second_answer_is_dropped(self):
@@ -227,7 +230,7 @@
             sock.sendall(fakes.render(503, X_Not_Executed="1"))
 
         endpoint = fakes.Endpoint(self, refuse)
-        self.prepare(endpoint, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(endpoint, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(503, self.ask())
 
     def test_broken_stream_ends_uncleanly(self):
@@ -236,7 +239,7 @@
         endpoint = fakes.Endpoint(
             self, fakes.stream(*events, whole=False, pause=0.02)
         )
-        self.prepare(endpoint, repeat=models.Repeat.STREAM)
+        self.prepare(endpoint, repeat=models.RepeatPolicy.STREAM)
         self.assertRaises(replies.StreamCutError, self.ask)
         self.assertEqual(fakes.make_event(1), self.body)
         self.assertEqual("cut", self.sender.progress.outcome)
@@ -254,9 +257,9 @@
         )
         second = fakes.Endpoint(self, fakes.stream(three))
         self.prepare(
-            first, second, repeat=models.Repeat.STREAM, resumable=True
+            first, second, repeat=models.RepeatPolicy.STREAM, resumable=True
         )
-        self.room.health.note_answer("e1", False, self.room.ticker.now())
+        self.room.health.record_answer("e1", False, self.room.ticker.now())
         self.assertEqual(200, self.ask())
         self.assertEqual(one + two + three, self.body)
         self.assertEqual("2", second.requests[0][2]["last-event-id"])
@@ -272,9 +275,9 @@
         first = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         second = fakes.Endpoint(self, fakes.stream(one, two))
         self.prepare(
-            first, second, repeat=models.Repeat.STREAM, resumable=True
+            first, second, repeat=models.RepeatPolicy.STREAM, resumable=True
         )
-        self.room.health.note_answer("e1", False, self.room.ticker.now())
+        self.room.health.record_answer("e1", False, self.room.ticker.now())
         self.assertEqual(200, self.ask())
         self.assertEqual(one + two, self.body)
         self.assertNotIn("last-event-id", second.requests[0][2])
@@ -283,8 +286,8 @@
         """Its caller gets the endpoint's own word; nothing runs again."""
         first = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         second = fakes.Endpoint(self, fakes.stream(fakes.make_event(1)))
-        self.prepare(first, second, repeat=models.Repeat.STREAM)
-        self.room.health.note_answer("e1", False, self.room.ticker.now())
+        self.prepare(first, second, repeat=models.RepeatPolicy.STREAM)
+        self.room.health.record_answer("e1", False, self.room.ticker.now())
         self.assertEqual(500, self.ask())
         self.assertEqual([], second.requests)
 
@@ -301,9 +304,9 @@
         )
         second = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         self.prepare(
-            first, second, repeat=models.Repeat.STREAM, resumable=True
+            first, second, repeat=models.RepeatPolicy.STREAM, resumable=True
         )
-        self.room.health.note_answer("e1", False, self.room.ticker.now())
+        self.room.health.record_answer("e1", False, self.room.ticker.now())
         self.assertRaises(replies.StreamCutError, self.ask)
         self.assertEqual(one, self.body)
         self.assertEqual(1, len(self.started))
@@ -344,7 +347,7 @@
     def crash_others(self, number):
         """Let endpoints that this instance never sees end under it."""
         for each in range(number):
-            self.suspects.note_end(
+            self.suspects.record_crash(
                 "f1",
                 samples.make_endpoint(f"other-{each}"),
                 self.room.ticker.now(),
@@ -354,7 +357,7 @@
         """Guards against one more end for each caller's repeat."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
-        self.crash_others(suspects.MAX_ENDS)
+        self.crash_others(suspects.BAR_THRESHOLD)
         self.assertEqual(503, self.ask())
         self.assertEqual(
             suspects.KEEP_SECONDS, float(self.started[-1][1]["retry-after"])
@@ -368,8 +371,8 @@
         ending = fakes.Endpoint(self, fakes.close_unanswered)
         other = fakes.Endpoint(self, fakes.answer())
         self.prepare(ending, other)
-        self.room.health.note_answer("e1", False, self.room.ticker.now())
-        self.crash_others(suspects.MAX_ENDS - 1)
+        self.room.health.record_answer("e1", False, self.room.ticker.now())
+        self.crash_others(suspects.BAR_THRESHOLD - 1)
         self.assertEqual(502, self.ask())
         self.assertEqual(0, len(other.requests))
 
@@ -381,7 +384,7 @@
         may_use = cluster_state.may_use
 
         def hear(endpoint):
-            self.crash_others(suspects.MAX_ENDS)
+            self.crash_others(suspects.BAR_THRESHOLD)
             return may_use(endpoint)
 
         cluster_state.may_use = hear
@@ -392,7 +395,7 @@
         """Guards against a bar for failures that an endpoint tells."""
         bad = fakes.Endpoint(self, fakes.answer(500))
         self.prepare(bad)
-        self.crash_others(suspects.MAX_ENDS - 1)
+        self.crash_others(suspects.BAR_THRESHOLD - 1)
         self.assertEqual(500, self.ask())
         self.assertFalse(self.is_barred())
 
@@ -400,7 +403,7 @@
         """Guards against an end whose reset is lost on its way."""
         endpoint = fakes.Endpoint(self, fakes.never_answer)
         self.prepare(endpoint, timeout=0.1)
-        self.crash_others(suspects.MAX_ENDS - 1)
+        self.crash_others(suspects.BAR_THRESHOLD - 1)
         gevent.spawn_later(0.05, self.room.cluster_state.endpoints.clear)
         self.assertEqual(504, self.ask())
         self.assertTrue(self.is_barred())
@@ -408,7 +411,7 @@
     def test_limit_in_any_answer_is_noted(self):
         """Guards against a limit that only refusals name."""
         endpoint = fakes.Endpoint(self)
-        self.prepare(endpoint, repeat=models.Repeat.NON_IDEMPOTENT)
+        self.prepare(endpoint, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         kicker = gevent.spawn(self.room.dispatcher.run_match_loop)
         self.addCleanup(kicker.kill)
         for script, rate in (
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -109,8 +109,8 @@
     def test_all_know_a_request_that_ended_endpoints_elsewhere(self):
         """Guards against three more ends for each data centre or start."""
         self.network.run(4.0)
-        for number in range(suspects.MAX_ENDS):
-            self.nodes[number].suspects.note_end(
+        for number in range(suspects.BAR_THRESHOLD):
+            self.nodes[number].suspects.record_crash(
                 "f1",
                 samples.make_endpoint(f"e{number}"),
                 self.network.ticker.now(),
@@ -128,7 +128,7 @@
         self.network.run(4.0)
         for rate in (2.5, None):
             now = self.network.ticker.now()
-            self.nodes[0].limits.note_answer("e1", rate, now)
+            self.nodes[0].limits.record_limit("e1", rate, now)
             self.network.run(KNOWN_SECONDS)
             for node in self.nodes:
                 self.assertEqual(rate, node.limits.get_rate("e1"))
--- a/tests/scheduler/direct/test_cold.py
+++ b/tests/scheduler/direct/test_cold_starts.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies
 import testtools
 
-from citronport.scheduler.direct import cold
-from citronport.scheduler.direct import ranking
-from citronport.scheduler.direct import shares
+from citronport.scheduler.direct import cold_starts
+from citronport.scheduler.direct import rendezvous
+from citronport.scheduler.direct import roles
 
 RATE = 11.0
 BOUND = RATE * 1.5 + 5
@@ -26,15 +26,15 @@
     def test_a_burst_stays_within_the_bound(self, instances, gap):
         """Every instance sends as fast as it may; no second has too much."""
         names = tuple(f"i{n}" for n in range(instances))
-        starts = {name: cold.ColdStarts() for name in names}
+        starts = {name: cold_starts.ColdStarts() for name in names}
         sends = []
         for own in starts.values():
             own.set_cold("e", 10.0)
         now = 0.0
         while now < 2.5:
             for name, own in starts.items():
-                if own.may_send("e", shares.Sender(name, names), RATE, now):
-                    own.note_send("e", now)
+                if own.may_send("e", roles.Sender(name, names), RATE, now):
+                    own.record_send("e", now)
                     sends.append(now)
             now += gap
         busiest = max(
@@ -49,11 +49,15 @@
         Four machines were just added; the old ones do not know them yet
         and divide the rate by seven, the new ones by eleven.
         """
-        old = cold.count_allowed(RATE, 7) * 7
+        old = cold_starts.compute_window_limit(RATE, 7) * 7
         new = (
-            cold.count_allowed(
+            cold_starts.compute_window_limit(
                 RATE,
-                len(ranking.choose("e", tuple(f"i{n}" for n in range(11)), 8)),
+                len(
+                    rendezvous.choose(
+                        "e", tuple(f"i{n}" for n in range(11)), 8
+                    )
+                ),
             )
             * 4
         )
@@ -61,11 +65,11 @@
 
     def test_warm_again(self):
         """Past its cold time an endpoint takes what it gets."""
-        own = cold.ColdStarts()
+        own = cold_starts.ColdStarts()
         own.set_cold("e", 1.0)
         for _ in range(50):
-            own.note_send("e", 0.5)
-        share = shares.Sender("i", ("i",))
+            own.record_send("e", 0.5)
+        share = roles.Sender("i", ("i",))
         self.assertFalse(own.may_send("e", share, RATE, 0.9))
         self.assertTrue(own.may_send("e", share, RATE, 1.0))
 
@@ -76,17 +80,17 @@
         others that have a part of the rate send by themselves besides.
         """
         names = tuple(f"i{n}" for n in range(60))
-        parts = [shares.Owner(), shares.Owner()]
-        parts += [shares.Sender(name, names) for name in names]
+        parts = [roles.Owner(), roles.Owner()]
+        parts += [roles.Sender(name, names) for name in names]
         sends = []
-        starts = [cold.ColdStarts() for _ in parts]
+        starts = [cold_starts.ColdStarts() for _ in parts]
         for own in starts:
             own.set_cold("e", 10.0)
         for step in range(100):
             now = step * 0.025
             for own, share in zip(starts, parts, strict=True):
                 if own.may_send("e", share, RATE, now):
-                    own.note_send("e", now)
+                    own.record_send("e", now)
                     sends.append(now)
         busiest = max(
             sum(1 for s in sends if at <= s < at + 1.0) for at in sends
--- a/tests/scheduler/direct/test_endpoint_limits.py
+++ b/tests/scheduler/direct/test_endpoint_limits.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies
 import testtools
 
-from citronport.scheduler.direct import cold
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
-from citronport.scheduler.direct import shares
+from citronport.scheduler.direct import roles
 
 WINDOW_SECONDS = 4.0
 OVER = 1.5
@@ -32,7 +32,7 @@
         self.limits = [endpoint_limits.EndpointLimits() for _ in parts]
         self.sends = []
         for own in self.limits:
-            own.note_answer("e", rate, 0.0)
+            own.record_limit("e", rate, 0.0)
 
     def run(self, until, start=0.0, active=None):
         """Let time pass in steps of 25 ms."""
@@ -43,14 +43,14 @@
                 if active is not None and number not in active:
                     continue
                 if own.may_send("e", part, now):
-                    own.note_send("e")
+                    own.record_send("e")
                     self.sends.append(now)
 
 
 def list_senders(number):
     """Return the parts of instances that find no owner."""
     names = tuple(f"i{n}" for n in range(number))
-    return [shares.Sender(name, names) for name in names]
+    return [roles.Sender(name, names) for name in names]
 
 
 class EndpointLimitsTest(testtools.TestCase):
@@ -75,7 +75,7 @@
     @hypothesis.given(rate=strategies.floats(0.0, 40.0))
     def test_owner_uses_the_limit(self, rate):
         """Guards against an endpoint in need that idles."""
-        sending = Sending(rate, [shares.Owner()])
+        sending = Sending(rate, [roles.Owner()])
         sending.run(10.0)
         allowed = OVER * rate * WINDOW_SECONDS + EXTRA
         self.assertLessEqual(count_busiest(sending.sends), allowed)
@@ -90,7 +90,7 @@
 
         The former one goes on for half a second, until it hears.
         """
-        sending = Sending(rate, [shares.Owner(), shares.Owner()])
+        sending = Sending(rate, [roles.Owner(), roles.Owner()])
         sending.run(at, active={0})
         sending.run(at + 0.5, start=at)
         sending.run(12.0, start=at + 0.5, active={1})
@@ -112,10 +112,10 @@
         for turn in range(int(10.0 / gap)):
             owner = turn % len(senders)
             start = turn * gap
-            settled = start + min(gap, cold.WINDOW_SECONDS)
+            settled = start + min(gap, cold_starts.WINDOW_SECONDS)
             sending.parts[owner] = senders[owner]
             sending.run(settled, start=start, active={owner})
-            sending.parts[owner] = shares.Owner()
+            sending.parts[owner] = roles.Owner()
             sending.run(start + gap, start=settled, active={owner})
         allowed = OVER * rate * WINDOW_SECONDS + EXTRA
         self.assertLessEqual(count_busiest(sending.sends), allowed)
@@ -123,54 +123,54 @@
     def test_others_hear_of_a_limit_and_of_its_lifting(self):
         """Guards against an instance that goes on by an old answer."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
-        self.assertTrue(one.note_answer("e", 2.5, 1.0))
-        two.hear(one.list_told(1.1), 1.1)
+        self.assertTrue(one.record_limit("e", 2.5, 1.0))
+        two.apply_updates(one.list_updates(1.1), 1.1)
         self.assertEqual(2.5, two.get_rate("e"))
-        self.assertTrue(two.note_answer("e", None, 2.0))
-        one.hear(two.list_told(2.1), 2.1)
+        self.assertTrue(two.record_limit("e", None, 2.0))
+        one.apply_updates(two.list_updates(2.1), 2.1)
         self.assertIsNone(one.get_rate("e"))
-        self.assertEqual((0, 0), (one.count(), two.count()))
+        self.assertEqual((0, 0), (one.count_limited(), two.count_limited()))
 
     def test_old_word_does_not_replace_a_new_one(self):
         """Guards against a limit that comes back by a late report."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
-        one.note_answer("e", 2.5, 1.0)
-        late = one.list_told(1.1)
-        two.note_answer("e", None, 1.5)
-        two.hear([(n, r, age + 600) for n, r, age in late], 1.7)
+        one.record_limit("e", 2.5, 1.0)
+        late = one.list_updates(1.1)
+        two.record_limit("e", None, 1.5)
+        two.apply_updates([(n, r, age + 600) for n, r, age in late], 1.7)
         self.assertIsNone(two.get_rate("e"))
         # And the one that told it is put right.
-        one.hear(two.list_told(1.8), 1.8)
+        one.apply_updates(two.list_updates(1.8), 1.8)
         self.assertIsNone(one.get_rate("e"))
 
     def test_instance_that_starts_later_hears_of_all(self):
         """Guards against a restart that knows no limit."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
         for number in range(6):
-            one.note_answer(f"e{number}", 2.0, 0.0)
+            one.record_limit(f"e{number}", 2.0, 0.0)
         for report in range(6):
             now = 50.0 + 0.1 * report
-            two.hear(one.list_told(now), now)
-        self.assertEqual(6, two.count())
+            two.apply_updates(one.list_updates(now), now)
+        self.assertEqual(6, two.count_limited())
 
     def test_gone_endpoint_is_forgotten(self):
         """Its name may be used again by one that names no limit."""
         one = endpoint_limits.EndpointLimits()
-        one.note_answer("e", 2.0, 0.0)
+        one.record_limit("e", 2.0, 0.0)
         one.forget("e")
         self.assertIsNone(one.get_rate("e"))
-        self.assertEqual([], one.list_told(0.1))
+        self.assertEqual([], one.list_updates(0.1))
 
     def test_gone_endpoint_is_not_told_for_ever(self):
         """Guards against instances that remind each other of one gone."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
-        one.note_answer("e", 2.0, 0.0)
-        two.hear(one.list_told(0.1), 0.1)
+        one.record_limit("e", 2.0, 0.0)
+        two.apply_updates(one.list_updates(0.1), 0.1)
         one.forget("e")
-        one.hear(two.list_told(0.2), 0.2)
+        one.apply_updates(two.list_updates(0.2), 0.2)
         two.forget("e")
         for minute in range(1, 60):
             now = 60.0 * minute
-            two.hear(one.list_told(now), now)
-            one.hear(two.list_told(now), now)
-        self.assertEqual((0, 0), (one.count(), two.count()))
+            two.apply_updates(one.list_updates(now), now)
+            one.apply_updates(two.list_updates(now), now)
+        self.assertEqual((0, 0), (one.count_limited(), two.count_limited()))
--- a/tests/scheduler/direct/test_fleet_load.py
+++ b/tests/scheduler/direct/test_fleet_load.py
@@ -12,14 +12,14 @@
 
 import testtools
 
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
+from citronport.scheduler.direct import roles
 from citronport.scheduler.direct import runs
 from citronport.scheduler.direct import selection
-from citronport.scheduler.direct import shares
-from citronport.scheduler.direct import waiting
+from citronport.scheduler.direct import wait_queue
 from tests.relay import samples
 
 INSTANCES = 60
@@ -77,14 +77,14 @@
     """What one instance knows, and its queue."""
 
     def __init__(self):
-        self.board = board_module.Board()
+        self.board = load_tracker.LoadTracker()
         self.selector = selection.Selector(
             self.board,
             health_module.Health(),
-            cold_module.ColdStarts(),
+            cold_starts.ColdStarts(),
             endpoint_limits.EndpointLimits(),
         )
-        self.queue = waiting.Queue()
+        self.queue = wait_queue.WaitQueue()
 
 
 @dataclasses.dataclass
@@ -109,7 +109,7 @@
         self._arrivals = random.Random(7)
         self._draw = random.Random(8)
         self._choosers = [Chooser() for _ in range(choosers)]
-        self._drawn = selection.count_candidates(ENDPOINTS, choosers)
+        self._drawn = selection.compute_sample_size(ENDPOINTS, choosers)
         names = [f"e{n}" for n in range(ENDPOINTS)]
         self._engines = {
             name: Engine(PACES[number % len(PACES)])
@@ -119,14 +119,14 @@
             samples.make_endpoint(name, slots=SLOTS) for name in names
         ]
         self._service = samples.make_service(cold_rate=0.0)
-        self._share = shares.Sender("own", ("own",))
+        self._share = roles.Sender("own", ("own",))
         self._events = []
         self._number = itertools.count()
         self.outcome = Outcome()
         for chooser in self._choosers:
             for name, engine in self._engines.items():
-                pace = engine.pace * STEP_SECONDS / runs.PACE_SECONDS
-                chooser.board.hear_pace("all", name, pace)
+                pace = engine.pace * STEP_SECONDS / runs.SECONDS_PER_MS
+                chooser.board.apply_step_ms("all", name, pace)
         self._plan(pressure)
 
     def play(self):
@@ -165,7 +165,7 @@
 
     def _arrive(self, now, chooser, work):
         self.outcome.asked += 1
-        chooser.queue.add(waiting.Waiter(work=work, since=now))
+        chooser.queue.add(wait_queue.Waiter(work=work, waiting_since=now))
         self._look(now, chooser)
 
     def _look_again(self, now, chooser):
@@ -179,7 +179,9 @@
         usable = [
             e
             for e in self._endpoints
-            if chooser.selector.has_room(e, self._service, self._share, now)
+            if chooser.selector.has_capacity(
+                e, self._service, self._share, now
+            )
         ]
 
         def choose(waiter):
@@ -189,13 +191,13 @@
             return self._send(now, chooser, waiter.work, seen)
 
         chooser.queue.match(choose, now, lambda: not usable)
-        for waiter in chooser.queue.list_in_order(now):
-            if waiting.compute_patience(waiter.work, now) <= 0:
+        for waiter in chooser.queue.list_by_urgency(now):
+            if wait_queue.compute_max_wait(waiter.work, now) <= 0:
                 chooser.queue.remove(waiter)
                 self.outcome.refused += 1
 
     def _has_room(self, chooser, endpoint, now):
-        return chooser.selector.has_room(
+        return chooser.selector.has_capacity(
             endpoint, self._service, self._share, now
         )
 
@@ -204,7 +206,7 @@
         if place is None:
             return None
         name = place.endpoint.name
-        chooser.board.note_sent(name, work, now)
+        chooser.board.record_send(name, work, now)
         first, end = self._engines[name].run(work, now)
         if first <= work.arrived + work.route.objective:
             self.outcome.in_time += 1
@@ -213,17 +215,17 @@
         return place
 
     def _begin(self, now, chooser, name, work):
-        chooser.board.note_begun(name, work.request_id, now)
+        chooser.board.record_first_event(name, work.request_id, now)
 
     def _end(self, now, chooser, name, work):
-        chooser.board.note_end(name, work.request_id)
+        chooser.board.record_end(name, work.request_id)
         self._look(now, chooser)
 
     def _report(self, now, chooser, number):
-        rows = chooser.board.list_own(0)
+        rows = chooser.board.make_report_rows(0)
         for other in self._choosers:
             if other is not chooser:
-                other.board.hear(f"i{number}", rows)
+                other.board.apply_report(f"i{number}", rows)
         if now < SECONDS:
             self._at(now + REPORT_SECONDS, self._report, chooser, number)
 
--- a/tests/scheduler/direct/test_leases.py
+++ b/tests/scheduler/direct/test_leases.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies
 import testtools
 
-from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import leases as leases_module
+from citronport.scheduler.direct import load_tracker
 from tests.relay import samples
 
 PROFILE = hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
@@ -13,8 +13,8 @@
 
 def make_held(request_id="r1", endpoint="e1", unread=0):
     """Return a lease as its holder tells it."""
-    return leases_module.Held(
-        request_id=request_id, endpoint=endpoint, unread=unread
+    return leases_module.HeldLease(
+        request_id=request_id, endpoint=endpoint, prefill_tokens=unread
     )
 
 
@@ -24,20 +24,20 @@
     def setUp(self):
         """Make an owner that has handed out one place."""
         super().setUp()
-        self.board = board_module.Board()
+        self.board = load_tracker.LoadTracker()
         self.leases = leases_module.Leases(self.board)
         self.grant("r1", 0.0)
 
     def grant(self, request_id, now, endpoint="e1", holder="x"):
         """Hand out a place."""
         work = samples.make_work(request_id, now=now)
-        self.board.note_sent(endpoint, work, now)
+        self.board.record_send(endpoint, work, now)
         self.leases.grant(request_id, endpoint, holder, now)
 
     def count(self, endpoint="e1"):
         """Return requests and unread tokens at an endpoint."""
         load = self.board.get_load(endpoint)
-        return load.requests, load.unread
+        return load.requests, load.prefill_backlog
 
     def test_end_frees_the_place_once(self):
         """The news of an end comes twice, as it goes to two owners."""
@@ -48,7 +48,7 @@
     def test_first_event_takes_the_prompt_off(self):
         """What has been read keeps nobody waiting any more."""
         self.assertEqual((1, 1000), self.count())
-        self.leases.begin("r1", "e1", 0.1)
+        self.leases.record_first_event("r1", "e1", 0.1)
         self.assertEqual((1, 0), self.count())
 
     def test_lost_end_is_made_up_for_by_the_next_renewal(self):
@@ -73,29 +73,29 @@
     def test_dead_holder_frees_its_places(self):
         """It was killed: nobody renews, and its places are free soon."""
         self.leases.renew("x", [make_held()], 1.0)
-        self.leases.sweep(2.0)
+        self.leases.remove_expired(2.0)
         self.assertEqual(1, self.count()[0])
-        self.leases.sweep(1.01 + leases_module.EXPIRE_SECONDS)
+        self.leases.remove_expired(1.01 + leases_module.EXPIRE_SECONDS)
         self.assertEqual((0, 0), self.count())
 
     def test_new_owner_learns_what_runs(self):
         """The owner died; the next one hears of all within a renewal."""
-        board = board_module.Board()
+        board = load_tracker.LoadTracker()
         leases = leases_module.Leases(board)
         held = [make_held("r1", "e1", 700), make_held("r2", "e1", 0)]
         leases.renew("x", held, 0.0)
-        self.assertEqual(board_module.Load(2, 700), board.get_load("e1"))
+        self.assertEqual(load_tracker.Load(2, 700), board.get_load("e1"))
         leases.end("r1", "e1")
         leases.end("r2", "e1")
-        self.assertEqual(board_module.Load(0, 0), board.get_load("e1"))
+        self.assertEqual(load_tracker.Load(0, 0), board.get_load("e1"))
 
     def test_leased_requests_are_not_told_twice(self):
         """The holder runs them, the owner counts them: one of the two."""
-        board = board_module.Board()
-        run = board.note_leased("e1", samples.make_work("r1"), 0.0)
-        self.assertEqual([], board.list_own())
+        board = load_tracker.LoadTracker()
+        run = board.record_leased_send("e1", samples.make_work("r1"), 0.0)
+        self.assertEqual([], board.make_report_rows())
         self.assertEqual([("e1", run)], board.list_leased())
-        board.note_lease_end("e1", "r1")
+        board.record_leased_end("e1", "r1")
         self.assertEqual([], board.list_leased())
 
     @PROFILE
@@ -110,7 +110,7 @@
     )
     def test_a_renewal_sets_right_what_got_lost(self, steps):
         """Whatever is lost, one renewal makes both sides agree."""
-        board = board_module.Board()
+        board = load_tracker.LoadTracker()
         leases = leases_module.Leases(board)
         running = set()
         now = 0.0
@@ -119,7 +119,7 @@
             request = f"r{number}"
             if what == "grant" and request not in running:
                 running.add(request)
-                board.note_sent("e1", samples.make_work(request), now)
+                board.record_send("e1", samples.make_work(request), now)
                 leases.grant(request, "e1", "x", now)
             elif request in running:
                 running.discard(request)
--- a/tests/scheduler/direct/test_quota.py
+++ b/tests/scheduler/direct/test_quota.py
@@ -32,7 +32,9 @@
     for index, one in enumerate(part):
         for other in part:
             if other is not one:
-                other.hear(str(index), "1", dict(one.get_totals()), now)
+                other.apply_totals(
+                    str(index), "1", dict(one.get_totals()), now
+                )
 
 
 def press(parts, seconds, units, lag=0.1, deaf=0.0, started=-10.0):
@@ -167,7 +169,7 @@
             for index, peer in enumerate(fleet):
                 for other in fleet:
                     if other is not peer:
-                        other.hear(
+                        other.apply_totals(
                             str(index), "1", dict(peer.get_totals()), now
                         )
             now += 0.1
@@ -178,10 +180,10 @@
         workspace = make_workspace()
         quotas = quota.Quotas()
         quotas.admit(workspace, 1.0, 1.0, 0.0)
-        quotas.hear("other", "1", {"w": 0.0}, 0.0)
-        quotas.hear("other", "1", {"w": 6000.0}, 0.0)
-        quotas.hear("other", "1", {"w": 3000.0}, 0.0)
-        quotas.hear("other", "1", {"w": 6000.0}, 0.0)
+        quotas.apply_totals("other", "1", {"w": 0.0}, 0.0)
+        quotas.apply_totals("other", "1", {"w": 6000.0}, 0.0)
+        quotas.apply_totals("other", "1", {"w": 3000.0}, 0.0)
+        quotas.apply_totals("other", "1", {"w": 6000.0}, 0.0)
         self.assertIsNone(quotas.admit(workspace, 3000.0, 1.0, 0.0))
 
     def test_a_new_instance_does_not_pay_for_the_past(self):
@@ -195,18 +197,18 @@
         workspace = make_workspace()
         self.assertIsNone(quotas.admit(workspace, 1.0, 1.0, 0.0))
         for other in "abcdef":
-            quotas.hear(other, "1", {"w": 1e9}, 0.0)
+            quotas.apply_totals(other, "1", {"w": 1e9}, 0.0)
         self.assertIsNone(quotas.admit(workspace, 1.0, 1.0, 0.1))
-        quotas.hear("a", "1", {"w": 1e9 + BURST}, 0.0)
+        quotas.apply_totals("a", "1", {"w": 1e9 + BURST}, 0.0)
         self.assertIsNotNone(quotas.admit(workspace, 9000.0, 1.0, 0.1))
 
     def test_an_instance_that_started_anew_counts_from_nothing(self):
         """What it has let pass since its start is charged whole."""
         quotas = quota.Quotas()
         workspace = make_workspace()
-        quotas.hear("other", "1", {"w": 5000.0}, 0.0)
+        quotas.apply_totals("other", "1", {"w": 5000.0}, 0.0)
         self.assertIsNone(quotas.admit(workspace, 1.0, 1.0, 0.0))
-        quotas.hear("other", "2", {"w": BURST}, 0.0)
+        quotas.apply_totals("other", "2", {"w": BURST}, 0.0)
         self.assertIsNotNone(quotas.admit(workspace, 1.0, 1.0, 0.0))
 
     def test_one_instance_away_takes_little_of_the_tolerance(self):
@@ -257,9 +259,9 @@
         other.admit(workspace, 1.0, 1.0, 0.0)
         for _ in range(5):
             self.assertIsNone(quotas.admit(workspace, 9000.0, 1.0, 0.0))
-            other.hear("one", "1", dict(quotas.get_totals()), 0.0)
-            quotas.give_back(workspace, 9000.0)
-            other.hear("one", "1", dict(quotas.get_totals()), 0.0)
+            other.apply_totals("one", "1", dict(quotas.get_totals()), 0.0)
+            quotas.refund(workspace, 9000.0)
+            other.apply_totals("one", "1", dict(quotas.get_totals()), 0.0)
         self.assertIsNone(other.admit(workspace, 9000.0, 1.0, 0.0))
 
     def test_no_limit(self):
--- a/tests/scheduler/direct/test_ranking.py
+++ b/tests/scheduler/direct/test_rendezvous.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
 
 class ChooseTest(testtools.TestCase):
@@ -22,7 +22,9 @@
         draws = collections.Counter()
         for caller in range(400):
             draws.update(
-                ranking.choose_by_weight(f"10.9.0.{caller}", self.weights, 64)
+                rendezvous.choose_by_weight(
+                    f"10.9.0.{caller}", self.weights, 64
+                )
             )
         each = 400 * 64 / sum(self.weights.values())
         for name, weight in self.weights.items():
@@ -30,16 +32,17 @@
 
     def test_a_caller_keeps_its_instances(self):
         """A caller that gets other ones each time keeps no connection."""
-        chosen = set(ranking.choose_by_weight("c", self.weights, 64))
+        chosen = set(rendezvous.choose_by_weight("c", self.weights, 64))
         self.assertEqual(64, len(chosen))
         gone = min(chosen)
         del self.weights[gone]
-        again = set(ranking.choose_by_weight("c", self.weights, 64))
+        again = set(rendezvous.choose_by_weight("c", self.weights, 64))
         self.assertEqual({gone}, chosen - again)
         self.assertEqual(1, len(again - chosen))
 
     def test_all_of_a_few(self):
         """A small fleet is named whole."""
         self.assertEqual(
-            ("a", "b"), ranking.choose_by_weight("c", {"a": 1.0, "b": 2.0}, 64)
+            ("a", "b"),
+            rendezvous.choose_by_weight("c", {"a": 1.0, "b": 2.0}, 64),
         )
--- a/tests/scheduler/direct/test_retries.py
+++ b/tests/scheduler/direct/test_retries.py
@@ -29,7 +29,7 @@
             now = step * 0.1
             for budget in budgets:
                 for _ in range(rate // 10):
-                    budget.note_first(now)
+                    budget.record_first(now)
                     firsts.append(now)
                 for _ in range(5):
                     if budget.take(told, now):
@@ -42,5 +42,5 @@
     def test_a_calm_service_may_repeat(self):
         """One failure among few requests is repeated."""
         budget = retries.RetryBudget(RATIO, EXTRA)
-        budget.note_first(0.0)
+        budget.record_first(0.0)
         self.assertTrue(budget.take(7, 0.0))
--- a/tests/scheduler/direct/test_suspects.py
+++ b/tests/scheduler/direct/test_suspects.py
@@ -2,8 +2,8 @@
 
 import testtools
 
+from citronport.scheduler.direct import announcements
 from citronport.scheduler.direct import suspects
-from citronport.scheduler.direct import telling
 from tests.relay import samples
 
 FINGERPRINT = "f1"
@@ -20,13 +20,14 @@
     def setUp(self):
         """Make an instance that knows nothing."""
         super().setUp()
-        self.suspects = suspects.Suspects()
+        self.suspects = suspects.SuspectRequests()
 
     def end(self, *numbers, own=None, now=0.0):
         """Let endpoints end under the request; return whether it is new."""
         own = own or self.suspects
         found = [
-            own.note_end(FINGERPRINT, make_endpoint(n), now) for n in numbers
+            own.record_crash(FINGERPRINT, make_endpoint(n), now)
+            for n in numbers
         ]
         return found[-1]
 
@@ -52,7 +53,7 @@
     def test_whole_answer_excuses_all_ends_before_it(self):
         """Guards against a bar for a request that was only there."""
         self.end(1, 2)
-        self.suspects.note_whole(FINGERPRINT, 1.0)
+        self.suspects.record_completion(FINGERPRINT, 1.0)
         self.end(3, 4, now=2.0)
         self.assertFalse(self.is_barred(2.0))
         self.end(5, now=3.0)
@@ -60,25 +61,25 @@
 
     def test_ends_at_several_instances_add_up(self):
         """Guards against three ends for each instance."""
-        others = [suspects.Suspects() for _ in range(3)]
+        others = [suspects.SuspectRequests() for _ in range(3)]
         for number, other in enumerate(others):
             self.end(number, own=other)
-            self.suspects.hear(other.list_told(0.1), 0.1)
+            self.suspects.apply_updates(other.list_updates(0.1), 0.1)
         self.assertTrue(self.is_barred(0.1))
         for other in others:
-            other.hear(self.suspects.list_told(0.2), 0.2)
+            other.apply_updates(self.suspects.list_updates(0.2), 0.2)
             self.assertTrue(other.is_barred(FINGERPRINT, 0.2))
 
     def test_whole_answer_elsewhere_excuses_here(self):
         """Guards against a bar that outlives a whole answer elsewhere."""
-        other = suspects.Suspects()
+        other = suspects.SuspectRequests()
         self.end(1, 2, 3)
-        other.hear(self.suspects.list_told(0.1), 0.1)
-        other.note_whole(FINGERPRINT, 0.5)
-        self.suspects.hear(other.list_told(0.6), 0.6)
+        other.apply_updates(self.suspects.list_updates(0.1), 0.1)
+        other.record_completion(FINGERPRINT, 0.5)
+        self.suspects.apply_updates(other.list_updates(0.6), 0.6)
         self.assertFalse(self.is_barred(0.6))
         # What was told before the answer arrives late, or once more.
-        self.suspects.hear([(FINGERPRINT, 600, -1, [(9, 600)])], 0.7)
+        self.suspects.apply_updates([(FINGERPRINT, 600, -1, [(9, 600)])], 0.7)
         self.assertFalse(self.is_barred(0.7))
 
     def test_instance_that_starts_later_hears_of_it(self):
@@ -86,11 +87,11 @@
         for number in range(5):
             for end in range(3):
                 endpoint = make_endpoint(end)
-                self.suspects.note_end(f"f{number}", endpoint, 0.0)
-        newcomer = suspects.Suspects()
+                self.suspects.record_crash(f"f{number}", endpoint, 0.0)
+        newcomer = suspects.SuspectRequests()
         for report in range(5):
             now = 100.0 + report
-            newcomer.hear(self.suspects.list_told(now), now)
+            newcomer.apply_updates(self.suspects.list_updates(now), now)
         self.assertEqual(5, newcomer.count_barred())
 
     def test_ends_among_many_victims_add_up(self):
@@ -98,20 +99,22 @@
 
         Each instance sees one end of it and those of forty others.
         """
-        others = [suspects.Suspects() for _ in range(3)]
+        others = [suspects.SuspectRequests() for _ in range(3)]
         for number, other in enumerate(others):
             for victim in range(40):
-                other.note_end(f"{number}-{victim}", make_endpoint(number), 0)
+                other.record_crash(
+                    f"{number}-{victim}", make_endpoint(number), 0
+                )
             self.end(number, own=other)
         for report in range(8):
             now = 0.1 * report
             for other in others:
-                self.suspects.hear(other.list_told(now), now)
+                self.suspects.apply_updates(other.list_updates(now), now)
         self.assertTrue(self.is_barred(0.8))
 
     def test_forgotten_everywhere_once_nobody_asks(self):
         """Guards against instances that remind each other for ever."""
-        other = suspects.Suspects()
+        other = suspects.SuspectRequests()
         self.end(1, 2, 3)
         now = 0.0
         while now < 2 * suspects.KEEP_SECONDS:
@@ -120,8 +123,8 @@
                 (other, self.suspects),
                 (self.suspects, other),
             ):
-                each.hear(source.list_told(now), now)
-                each.sweep(now)
+                each.apply_updates(source.list_updates(now), now)
+                each.remove_expired(now)
         self.assertFalse(self.is_barred(now))
         self.assertEqual(0, other.count_barred())
 
@@ -130,16 +133,16 @@
         self.end(1, 2, 3)
         for step in range(1, 20):
             now = step * 100.0
-            self.suspects.sweep(now)
+            self.suspects.remove_expired(now)
             self.assertTrue(self.is_barred(now))
 
     def test_crash_of_many_endpoints_drops_no_barred_request(self):
         """Guards against a bar that is lost among thousands of victims."""
         self.end(1, 2, 3)
-        for number in range(2 * suspects.MAX_KEPT):
-            self.suspects.note_end(
+        for number in range(2 * suspects.MAX_SUSPECTS):
+            self.suspects.record_crash(
                 f"v{number}", make_endpoint(number), 1.0 + number
             )
         self.assertTrue(self.is_barred(1.0))
-        rows = self.suspects.list_told(number + 1.0)
-        self.assertLessEqual(len(rows), telling.MAX_NEWS + 1)
+        rows = self.suspects.list_updates(number + 1.0)
+        self.assertLessEqual(len(rows), announcements.MAX_CHANGES + 1)
--- a/tests/scheduler/direct/test_usage.py
+++ b/tests/scheduler/direct/test_usage.py
@@ -17,7 +17,9 @@
 
     def hear(self, envoy, now, total, start="1"):
         """Hear the sums of an envoy; return what is to be charged."""
-        grown = self.usage.hear_sums("dc", envoy, start, {"w": total}, now)
+        grown = self.usage.apply_data_centre_totals(
+            "dc", envoy, start, {"w": total}, now
+        )
         return grown.get("w", 0.0)
 
     def test_the_same_units_from_two_count_once(self):
--- a/tests/scheduler/direct/test_waiting.py
+++ b/tests/scheduler/direct/test_wait_queue.py
@@ -4,14 +4,14 @@
 
 import testtools
 
-from citronport.scheduler.direct import waiting
+from citronport.scheduler.direct import wait_queue
 from tests.relay import samples
 
 
 def make_waiter(name, now=0.0, **route):
     """Return a waiter whose request arrived at a time."""
     work = samples.make_work(name, samples.make_route(**route), now)
-    return waiting.Waiter(work=work, since=now)
+    return wait_queue.Waiter(work=work, waiting_since=now)
 
 
 class QueueTest(testtools.TestCase):
@@ -19,10 +19,10 @@
 
     def order(self, waiters, now):
         """Return the names of waiters in their order."""
-        queue = waiting.Queue()
+        queue = wait_queue.WaitQueue()
         for waiter in waiters:
             queue.add(waiter)
-        return [w.work.request_id for w in queue.list_in_order(now)]
+        return [w.work.request_id for w in queue.list_by_urgency(now)]
 
     def test_higher_tier_first(self):
         """Whatever else holds, a higher tier goes before a lower."""
@@ -51,7 +51,7 @@
 
     def test_match_takes_out_who_got_a_place(self):
         """Places go in order; the others go on waiting."""
-        queue = waiting.Queue()
+        queue = wait_queue.WaitQueue()
         for name in ("one", "two", "three"):
             queue.add(make_waiter(name))
         places = iter(["place", None, None])
@@ -73,11 +73,11 @@
         Places come free at forty a second, so that the wait is half a
         second: it waits, since it can still be in time.
         """
-        queue = waiting.Queue()
+        queue = wait_queue.WaitQueue()
         self.fill(queue, 20)
         waiter = make_waiter("new")
         queue.add(waiter)
-        self.assertAlmostEqual(0.5, queue.forecast(waiter, 40.0, 0.0))
+        self.assertAlmostEqual(0.5, queue.estimate_wait(waiter, 40.0, 0.0))
 
     def test_forecast_of_a_flood(self):
         """Load: a hundred requests of a more urgent route wait.
@@ -86,32 +86,32 @@
         and a half seconds, whatever comes meanwhile; one of the first
         route that has just come stands behind its like only.
         """
-        queue = waiting.Queue()
+        queue = wait_queue.WaitQueue()
         self.fill(queue, 100, tier=0)
         self.fill(queue, 50, tier=2)
         waiter = make_waiter("new", tier=1)
         queue.add(waiter)
-        self.assertAlmostEqual(2.5, queue.forecast(waiter, 40.0, 0.0))
+        self.assertAlmostEqual(2.5, queue.estimate_wait(waiter, 40.0, 0.0))
 
     def test_no_place_comes_free(self):
         """All endpoints are out of reach: a wait has no end."""
-        queue = waiting.Queue()
+        queue = wait_queue.WaitQueue()
         self.fill(queue, 1)
         waiter = make_waiter("new")
         queue.add(waiter)
-        self.assertEqual(float("inf"), queue.forecast(waiter, 0.0, 0.0))
+        self.assertEqual(float("inf"), queue.estimate_wait(waiter, 0.0, 0.0))
 
     def test_nothing_ahead(self):
         """The first in the queue gets the next place."""
-        queue = waiting.Queue()
+        queue = wait_queue.WaitQueue()
         waiter = make_waiter("new")
         queue.add(waiter)
-        self.assertEqual(0.0, queue.forecast(waiter, 0.0, 0.0))
+        self.assertEqual(0.0, queue.estimate_wait(waiter, 0.0, 0.0))
 
     def test_patience(self):
         """Two objectives, but never most of the time that is left."""
         work = samples.make_work()
-        self.assertEqual(1.6, waiting.compute_patience(work, 0.0))
+        self.assertEqual(1.6, wait_queue.compute_max_wait(work, 0.0))
         short = samples.make_work(deadline=1.0)
-        self.assertEqual(0.5, waiting.compute_patience(short, 0.0))
-        self.assertEqual(0.0, waiting.compute_patience(work, 20.0))
+        self.assertEqual(0.5, wait_queue.compute_max_wait(short, 0.0))
+        self.assertEqual(0.0, wait_queue.compute_max_wait(work, 20.0))
