--- a/citronport/core.py
+++ b/citronport/core.py
@@ -19,15 +19,15 @@
 from citronport import trace
 from citronport.callers import application as caller_application
 from citronport.callers import const as caller_const
-from citronport.callers import home
-from citronport.callers import keeper
+from citronport.callers import deduplication
+from citronport.callers import idempotency
 from citronport.callers import lookup
 from citronport.callers import server as caller_server
 from citronport.callers import tickets
 from citronport.catalogue import client as catalogue_client
 from citronport.catalogue import const as catalogue_const
 from citronport.catalogue import store
-from citronport.endpoints import watch
+from citronport.endpoints import monitors
 from citronport.instances import const as instance_const
 from citronport.instances import gossip
 from citronport.instances import messages
@@ -70,19 +70,23 @@
         self.published = store.Store()
         self.scheduler = scheduler_core.Scheduler(self.name)
         self.owners = ownership.Ownership(self.name, ticker.now())
-        self.records = home.Home(self.name, self.incarnation, ticker.now())
+        self.records = idempotency.RequestRecords(
+            self.name, self.incarnation, ticker.now()
+        )
         self._tracer = spans.make_tracer(
             self.name, settings.trace_file, settings.trace_share
         )
         self.telemetry = telemetry.Telemetry(ticker, self._tracer)
         self.tasks = tasks.Supervisor(ticker, self.telemetry.counts.note_death)
         self.peers = self._make_peers()
-        self.watches = watch.Watches(ticker, self._take_endpoint_event)
+        self.watches = monitors.EndpointMonitors(
+            ticker, self._take_endpoint_event
+        )
         self.executor = executor.Executor(
             self.scheduler,
             ticker,
             self._forward,
-            self.owners.may_feed_cold,
+            self.owners.may_send_cold,
             trace.make_event_recorder(self.name, settings.event_file),
             self.watches.is_current,
             self.telemetry,
@@ -108,11 +112,11 @@
             self.published,
             self.name,
             lambda: self._leaving,
-            self.gossip.find_silent,
+            self.gossip.get_silent_instances,
             lambda: self.assignment.current.owners,
             ticker,
         )
-        self.keeper = keeper.Keeper(
+        self.keeper = deduplication.Deduplicator(
             self.records,
             ticker,
             self.executor.submit,
@@ -146,7 +150,7 @@
         self._drain(callers)
         callers.stop(timeout=LINGER_SECONDS)
         peer_server.stop(timeout=0)
-        self.peers.flush(LINGER_SECONDS)
+        self.peers.close_links(LINGER_SECONDS)
         logging.info("%s %s is down.", LOG, self.name)
 
     def stop(self) -> None:
@@ -219,7 +223,7 @@
                 catalogue_const.PATH_CATALOGUE,
                 catalogue_const.WATCH_SECONDS,
                 lambda asked, version: None,
-                self.gossip.is_reader,
+                self.gossip.reads_from_platform,
             ),
             (
                 catalogue_const.PATH_INSTANCES,
@@ -242,7 +246,7 @@
                 self.telemetry.counts.note_read,
                 is_reader,
             )
-        self.tasks.keep("peer reports", self.gossip.serve)
+        self.tasks.keep("peer reports", self.gossip.report_forever)
         self.tasks.keep("keeper", self.keeper.sweep_forever)
         self.tasks.require("assignment", self.assignment.serve)
         self.tasks.require("executor", self.executor.serve)
@@ -259,7 +263,7 @@
     def _is_ready(self) -> bool:
         if not (self.published.fleet and self.published.instances):
             return False
-        if not self.gossip.has_heard_all():
+        if not self.gossip.has_synced():
             return False
         return self.assignment.current.owned <= self._connected
 
@@ -330,15 +334,15 @@
     def _take_message(
         self, sender: str, message: messages.Message
     ) -> messages.Message | None:
-        return self.gossip.take(sender, message)
+        return self.gossip.handle_message(sender, message)
 
     def _take_submission(self, work: runs.Work) -> runs.Run:
         telemetry.note_caller(work)
-        return self.keeper.take(work)
+        return self.keeper.submit(work)
 
     def _take_run(self, work: runs.Work, role: str) -> runs.Run:
         if role == instance_const.ROLE_HOME:
-            return self.keeper.take(work, forwarded=True)
+            return self.keeper.submit(work, forwarded=True)
         run = runs.Run(work, self.executor.leave)
         self.executor.submit(run, forwarded=True)
         return run
--- a/citronport/relay/gossip.py
+++ b/citronport/relay/gossip.py
@@ -16,7 +16,7 @@
 from citronport.relay import messages
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries as summaries_module
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
 LOG = "fleet:"
 
@@ -287,7 +287,7 @@
             if instance in readers:
                 continue
             address = self._members.get_address(instance)
-            if address and own in ranking.choose(
+            if address and own in rendezvous.choose(
                 instance, readers, ANNOUNCERS
             ):
                 self._send_datagram(data, address)
--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -5,7 +5,7 @@
 import random
 
 from citronport.relay import messages
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 
 FRESH_SECONDS = 1.0
 """Age up to which a report counts for shared limits and loads: several
@@ -320,7 +320,7 @@
         data_centres = {m.data_centre for m in self._members.values()}
         targets = []
         for data_centre in sorted(data_centres - {self._data_centre}):
-            if self._own in ranking.choose(
+            if self._own in rendezvous.choose(
                 data_centre, names, SUMMARY_SENDERS
             ):
                 targets += self._choose_summary_target(data_centre, now)
--- a/tests/relay/samples.py
+++ b/tests/relay/samples.py
@@ -3,14 +3,14 @@
 import os
 
 from citronport import clock
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import membership
-from citronport.relay import world as world_module
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import models
 
 ENGINES = "engines"
@@ -23,7 +23,7 @@
         "name": "review",
         "host": "review.example",
         "prefix": "/review/",
-        "repeat": models.Repeat.STREAM,
+        "repeat": models.RepeatPolicy.STREAM,
         "timeout": 15.0,
         "objective": 0.8,
         "tier": 0,
@@ -118,20 +118,24 @@
 
     def __init__(self, endpoints, ticker=None, configuration=None, own="own"):
         self.ticker = ticker or clock.RuntimeClock()
-        self.board = board_module.Board()
+        self.board = load_tracker.LoadTracker()
         self.health = health_module.Health()
-        self.cold = cold_module.ColdStarts()
+        self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
         self.members = membership.Membership(own, "a")
         self.log = make_log(self.ticker)
-        self.world = world_module.World(self.cold, self.board.forget, self.log)
-        self.world.configuration = configuration or make_configuration()
+        self.cluster_state = cluster_state_module.ClusterState(
+            self.cold, self.board.forget, self.log
+        )
+        self.cluster_state.configuration = (
+            configuration or make_configuration()
+        )
         for endpoint in endpoints:
-            self.world.endpoints[endpoint.name] = endpoint
-        self.world._index()
+            self.cluster_state.endpoints[endpoint.name] = endpoint
+        self.cluster_state._index()
         self.dispatcher = dispatcher_module.Dispatcher(
             own,
-            self.world,
+            self.cluster_state,
             self.members,
             self.board,
             self.health,
--- a/tests/relay/test_replication.py
+++ b/tests/relay/test_replication.py
@@ -27,7 +27,7 @@
         standbys = [n for n in names if n not in readers]
         self.standby = nodes.Node(self, int(standbys[0][1:]), subnet)
         self.standby.follower.on_standby = True
-        announcers = gossip.ranking.choose(
+        announcers = gossip.rendezvous.choose(
             standbys[0], readers, gossip.ANNOUNCERS
         )
         self.reader = nodes.Node(self, int(announcers[0][1:]), subnet)
