--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -18,11 +18,12 @@
 from citronport.platform import const as store_const
 from citronport.platform import models as wire_models
 from citronport.relay import application
+from citronport.relay import cluster_state as cluster_state_module
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import events
-from citronport.relay import fleet as fleet_module
 from citronport.relay import follower as follower_module
+from citronport.relay import gossip as gossip_module
 from citronport.relay import jobs
 from citronport.relay import leasing as leasing_module
 from citronport.relay import listeners
@@ -30,37 +31,36 @@
 from citronport.relay import messages
 from citronport.relay import metrics
 from citronport.relay import mirror as mirror_module
-from citronport.relay import news as news_module
+from citronport.relay import replication as replication_module
 from citronport.relay import reports
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries
-from citronport.relay import world as world_module
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import quota
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 from citronport.scheduler.direct import retries
 from citronport.scheduler.direct import suspects as suspects_module
 
 LOG = "relay:"
 
-SERVE_ON_SECONDS = 2.5
+DRAIN_ACCEPT_SECONDS = 2.5
 """How long an instance that leaves takes new work: callers keep the answer
 of a lookup for two seconds, and new answers name others at once."""
 
-MEET_SECONDS = 0.6
+PEER_DISCOVERY_SECONDS = 0.6
 """How long an instance that has just started waits at most until it knows
 the others; it may be the only one."""
 
-END_SECONDS = 0.7
+EXIT_MARGIN_SECONDS = 0.7
 """Time before the kill at which the process ends at the latest."""
 
-SWEEP_SECONDS = 0.25
+SWEEP_INTERVAL_SECONDS = 0.25
 """Pause between two looks at what has run out."""
 
-SETTINGS_SECONDS = 2.0
+SETTINGS_POLL_SECONDS = 2.0
 """Pause between two looks at whether the settings file has changed."""
 
 
@@ -90,11 +90,11 @@
         self._started = ticker.now()
         self.counts = metrics.Counts()
         self._stopped = gevent_event.Event()
-        self.board = board_module.Board()
+        self.board = load_tracker.LoadTracker()
         self.health = health_module.Health()
-        self.cold = cold_module.ColdStarts()
+        self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
-        self.suspects = suspects_module.Suspects()
+        self.suspects = suspects_module.SuspectRequests()
         self.quotas = quota.Quotas(
             settings.bounds.limit_over,
             settings.bounds.limit_slack,
@@ -104,23 +104,23 @@
             settings.instance, settings.data_centre
         )
         self.mirror = mirror_module.Mirror()
-        self.world = world_module.World(
+        self.cluster_state = cluster_state_module.ClusterState(
             self.cold, self._forget_endpoint, self._log
         )
         self.follower = follower_module.Follower(
             store_client.Client(
-                str(settings.store), follower_module.ANSWER_SECONDS
+                str(settings.store), follower_module.ANSWER_TIMEOUT_SECONDS
             ),
             self.mirror,
             ticker,
-            self._take_store_news,
+            self._handle_store_changes,
             self._log,
-            self._rest,
+            self._find_store_age,
             self._is_reader,
         )
         self.dispatcher = dispatcher_module.Dispatcher(
             settings.instance,
-            self.world,
+            self.cluster_state,
             self.members,
             self.board,
             self.health,
@@ -153,22 +153,22 @@
             self.limits,
             self.reports.make,
         )
-        self.fleet = fleet_module.Fleet(
+        self.gossip = gossip_module.Gossip(
             settings,
             self.members,
             ticker,
             self.reports.make,
-            self._take_report,
-            self._take_leasing,
+            self._handle_report,
+            self._handle_leasing,
             self.summaries,
             self._log,
         )
-        self.news = news_module.News(
+        self.replication = replication_module.Replication(
             settings,
             self.members,
             self.mirror,
             ticker,
-            self._take_news,
+            self._apply_changes,
             self.follower,
             self._log,
         )
@@ -176,19 +176,19 @@
             settings.instance,
             settings.capacity,
             self.members,
-            self.world,
+            self.cluster_state,
             self.dispatcher,
             self.board,
             self.health,
             self.is_ready,
-            self.fleet.tell,
+            self.gossip.send_lease_message,
             ticker,
             self._log,
         )
         self._budgets: dict[str, retries.RetryBudget] = {}
         self.application = application.Application(
-            jobs.Parts(
-                self.world,
+            jobs.RelayContext(
+                self.cluster_state,
                 self.dispatcher,
                 self.board,
                 self.health,
@@ -202,17 +202,20 @@
             ),
             self.quotas,
             lambda: self.members.compute_reach(ticker.now()),
-            lambda: max(fleet_module.REPORT_SECONDS, self.members.get_lag()),
+            lambda: max(
+                gossip_module.REPORT_SECONDS,
+                self.members.get_propagation_seconds(),
+            ),
             lambda: self._leaving,
             lambda: self._closing,
-            lambda: ticker.now() - self.follower.answered,
-            self._is_meeting,
+            lambda: ticker.now() - self.follower.answered_at,
+            self._is_discovering_peers,
             ticker,
         )
         self._callers = listeners.make_caller_server(
             settings, self.application
         )
-        self._tasks = tasks.Supervisor(ticker, self._note_death)
+        self._tasks = tasks.Supervisor(ticker, self._log_task_death)
 
     def serve(self) -> None:
         """Run until a stop is ordered and the work in progress is done."""
@@ -224,8 +227,8 @@
                 incarnation=self._incarnation, version=const.VERSION
             )
         )
-        self.fleet.open()
-        self.news.open()
+        self.gossip.open()
+        self.replication.open()
         servers = self._make_servers()
         for server in servers:
             server.start()
@@ -240,7 +243,7 @@
             return
         self._leaving = True
         self._log.write(events.Leaving(requests=self.application.running))
-        self.fleet.send(self.reports.make())
+        self.gossip.send_report(self.reports.make())
         self._stopped.set()
 
     def reload(self) -> None:
@@ -255,8 +258,8 @@
                 )
             case result.Ok(settings):
                 self._settings = settings
-                self.fleet.use(settings)
-                self.reports.use(settings)
+                self.gossip.update_settings(settings)
+                self.reports.update_settings(settings)
                 self._budgets.clear()
                 self._log.write(
                     events.SettingsReloaded(accepted=True, detail="")
@@ -265,9 +268,9 @@
     def is_ready(self) -> bool:
         """Return whether callers should come here."""
         ready = (
-            self.world.configuration is not None
+            self.cluster_state.configuration is not None
             and not self._leaving
-            and not self._is_meeting()
+            and not self._is_discovering_peers()
         )
         if ready != self._ready:
             self._ready = ready
@@ -288,20 +291,20 @@
         """
         now = self._ticker.now()
         capacities = {
-            r.callers: r.capacity for r in self.members.list_usable(now)
+            r.caller_address: r.capacity for r in self.members.list_usable(now)
         }
         if self.is_ready():
             own = self._settings
             capacities[str(own.callers)] = own.capacity
         return tuple(
             sorted(
-                ranking.choose_by_weight(
+                rendezvous.choose_by_weight(
                     caller, capacities, store_const.LOOKUP_ADDRESSES
                 )
             )
         )
 
-    def _is_meeting(self) -> bool:
+    def _is_discovering_peers(self) -> bool:
         """Return whether requests should wait until the others are known.
 
         Load: all instances start again at once, and the callers of two
@@ -310,7 +313,7 @@
         many times over, which turns away what could have waited a moment.
         """
         now = self._ticker.now()
-        if now - self._started >= MEET_SECONDS:
+        if now - self._started >= PEER_DISCOVERY_SECONDS:
             return False
         return self.members.is_growing(now)
 
@@ -328,54 +331,54 @@
     def _start_tasks(self) -> None:
         keep = self._tasks.keep
         keep("follower", self.follower.follow)
-        keep("receiver", self.fleet.receive)
-        keep("reporter", self.fleet.report_again_and_again)
-        keep("envoy", self.fleet.summarize_again_and_again)
-        keep("catch-up", self.news.catch_up)
-        keep("dispatcher", self.dispatcher.kick_again_and_again)
-        keep("renewer", self.leasing.renew_again_and_again)
-        keep("sweeper", self._sweep_again_and_again)
+        keep("receiver", self.gossip.receive)
+        keep("reporter", self.gossip.report_forever)
+        keep("envoy", self.gossip.summarize_forever)
+        keep("catch-up", self.replication.catch_up)
+        keep("dispatcher", self.dispatcher.run_match_loop)
+        keep("renewer", self.leasing.run_renewal_loop)
+        keep("sweeper", self._run_sweeper)
         keep("settings", self._watch_settings)
 
     def _drain(self) -> None:
-        end = self._settings.bounds.grace_seconds - END_SECONDS
+        end = self._settings.bounds.grace_seconds - EXIT_MARGIN_SECONDS
         started = self._ticker.now()
-        self._ticker.sleep(min(SERVE_ON_SECONDS, end))
+        self._ticker.sleep(min(DRAIN_ACCEPT_SECONDS, end))
         self._closing = True
         self._callers.close()
         while self._ticker.now() - started < end:
             if not self.application.running and self._callers.is_idle():
                 break
-            self._ticker.sleep(SWEEP_SECONDS)
-        self.news.close()
+            self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
+        self.replication.close()
 
-    def _sweep_again_and_again(self) -> None:
+    def _run_sweeper(self) -> None:
         while True:
-            self._ticker.sleep(SWEEP_SECONDS)
-            self.world.sweep(self._ticker.now())
-            self.leasing.lessor.sweep()
-            self.suspects.sweep(self._ticker.now())
+            self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
+            self.cluster_state.sweep(self._ticker.now())
+            self.leasing.lease_server.sweep()
+            self.suspects.remove_expired(self._ticker.now())
             self.is_ready()
 
     def _watch_settings(self) -> None:
-        seen = _get_changed(self._path)
+        seen = _get_file_version(self._path)
         while True:
-            self._ticker.sleep(SETTINGS_SECONDS)
-            changed = _get_changed(self._path)
+            self._ticker.sleep(SETTINGS_POLL_SECONDS)
+            changed = _get_file_version(self._path)
             if changed != seen:
                 seen = changed
                 self.reload()
 
-    def _take_report(self, report: messages.Report) -> None:
-        self.reports.take(report)
-        self.dispatcher.kick()
+    def _handle_report(self, report: messages.Report) -> None:
+        self.reports.apply(report)
+        self.dispatcher.schedule_match()
 
-    def _take_leasing(self, message: messages.Leasing) -> None:
-        self.leasing.take(message)
+    def _handle_leasing(self, message: messages.LeaseMessage) -> None:
+        self.leasing.handle(message)
 
-    def _rest(self) -> float | None:
+    def _find_store_age(self) -> float | None:
         now = self._ticker.now()
-        return follower_module.rest(
+        return follower_module.compute_standby_age(
             self._settings.instance,
             self.members.list_known(now),
             [r.store_seconds for r in self.members.list_fresh(now)],
@@ -386,25 +389,25 @@
         readers = follower_module.choose_readers(instances)
         return self._settings.instance in readers
 
-    def _take_store_news(self, news: list[wire_models.Item]) -> None:
-        self._take_news(news, self.follower.returned)
-        self.fleet.tell_news()
+    def _handle_store_changes(self, changes: list[wire_models.Item]) -> None:
+        self._apply_changes(changes, self.follower.recovered_at)
+        self.gossip.announce_changes()
 
-    def _take_news(
-        self, news: list[wire_models.Item], returned: float
+    def _apply_changes(
+        self, changes: list[wire_models.Item], returned: float
     ) -> None:
         now = self._ticker.now()
-        self.follower.returned = max(self.follower.returned, returned)
-        self.world.apply(news, now, self.follower.returned)
-        self._callers.connections.limits = listeners.make_limits(
-            self._settings, self.world.configuration
+        self.follower.recovered_at = max(self.follower.recovered_at, returned)
+        self.cluster_state.apply(changes, now, self.follower.recovered_at)
+        self._callers.tracker.limits = listeners.make_limits(
+            self._settings, self.cluster_state.configuration
         )
         self.is_ready()
-        self.dispatcher.kick()
+        self.dispatcher.schedule_match()
 
     def _read_state(self) -> metrics.State:
         now = self._ticker.now()
-        configuration = self.world.configuration
+        configuration = self.cluster_state.configuration
         fresh = self.members.list_fresh(now)
         return metrics.State(
             up_seconds=now - self._started,
@@ -414,21 +417,22 @@
             peers=len(fresh),
             known=len(self.members.list_known(now)),
             configuration=configuration.version if configuration else 0,
-            store_seconds=now - self.follower.answered,
+            store_seconds=now - self.follower.answered_at,
             store_revision=self.mirror.revision,
             store_calls=self.follower.calls,
             store_failures=self.follower.failures,
             summaries_made=self.summaries.made,
             summaries_taken=self.summaries.taken,
-            news_taken=self.news.taken,
-            news_failed=self.news.failed,
-            news_received=self.news.received,
-            news_behind_seconds=self.news.get_behind_seconds(),
-            endpoints=len(self.world.endpoints),
+            news_taken=self.replication.taken,
+            news_failed=self.replication.failed,
+            news_received=self.replication.received,
+            news_behind_seconds=self.replication.get_behind_seconds(),
+            endpoints=len(self.cluster_state.endpoints),
             cold=sum(
-                self.cold.is_cold(name, now) for name in self.world.endpoints
+                self.cold.is_cold(name, now)
+                for name in self.cluster_state.endpoints
             ),
-            limited=self.limits.count(),
+            limited=self.limits.count_limited(),
             leases=len(self.leasing.leases),
             barred=self.suspects.count_barred(),
             lines_dropped=sum(self._log.dropped.values()),
@@ -452,11 +456,11 @@
             )
         return budget
 
-    def _note_death(self, name: str) -> None:
+    def _log_task_death(self, name: str) -> None:
         logging.error("%s task %s died.", LOG, name)
 
 
-def _get_changed(path: pathlib.Path) -> tuple[int, int]:
+def _get_file_version(path: pathlib.Path) -> tuple[int, int]:
     try:
         status = path.stat()
     except OSError as error:
--- a/tests/instances/test_membership.py
+++ b/tests/instances/test_membership.py
@@ -14,7 +14,7 @@
 class NeighboursTest(testtools.TestCase):
     """Few links, and a change reaches all."""
 
-    def test_small_fleet_knows_all(self):
+    def test_small_fleet_is_full_mesh(self):
         """Each hears each at first hand."""
         names = make_names(7)
         chosen = membership.choose_neighbours("entry-3", names)
@@ -26,10 +26,10 @@
         chosen = {n: membership.choose_neighbours(n, names) for n in names}
         self.assertEqual({9}, {len(found) for found in chosen.values()})
         reached = {"entry-0"}
-        edge = {"entry-0"}
+        frontier = {"entry-0"}
         for _ in range(9):
-            edge = {n for name in edge for n in chosen[name]} - reached
-            reached |= edge
+            frontier = {n for name in frontier for n in chosen[name]} - reached
+            reached |= frontier
         self.assertEqual(names, reached)
 
     def test_one_more_instance_moves_few_links(self):
@@ -49,56 +49,58 @@
         self.assertLess(moved, every * 0.6)
 
 
-class SilenceTest(testtools.TestCase):
+class FailureDetectorTest(testtools.TestCase):
     """Signs of life at first and at second hand."""
 
     def setUp(self):
         """Expect signs of life of one neighbour."""
         super().setUp()
-        self.members = membership.Membership()
-        self.members.set_neighbours({"near"}, 0.0)
+        self.detector = membership.FailureDetector()
+        self.detector.set_neighbours({"near"}, 0.0)
 
     def test_silent_neighbour_is_out_of_reach_until_heard(self):
         """First-hand silence counts from the last sign of life."""
-        self.members.note_heard("near", 1.0)
-        late = 1.1 + const.SILENT_SECONDS
-        self.assertEqual({}, self.members.find_silent(late - 0.2))
-        self.assertEqual({"near": 0.0}, self.members.find_silent(late))
-        self.members.note_heard("near", late)
-        self.assertEqual({}, self.members.find_silent(late))
-
-    def test_told_silence_ages_and_is_forgotten(self):
+        self.detector.record_contact("near", 1.0)
+        late = 1.1 + const.SILENCE_TIMEOUT_SECONDS
+        self.assertEqual({}, self.detector.find_silent(late - 0.2))
+        self.assertEqual({"near": 0.0}, self.detector.find_silent(late))
+        self.detector.record_contact("near", late)
+        self.assertEqual({}, self.detector.find_silent(late))
+
+    def test_relayed_silence_ages_and_expires(self):
         """Those who are not its neighbours notice a return.
 
         A far instance dies and is replaced. Nobody says so any more; what
         was told, and is told on from one to the next, must run out.
         """
-        self.members.note_told({"far": 1.0}, 10.0)
-        self.assertAlmostEqual(3.0, self.members.find_silent(12.0)["far"])
-        other = membership.Membership()
-        other.note_told(self.members.find_silent(12.0), 12.0)
-        gone = 9.1 + const.FORGET_SECONDS
-        self.assertNotIn("far", self.members.find_silent(gone))
+        self.detector.record_relayed_silence({"far": 1.0}, 10.0)
+        self.assertAlmostEqual(3.0, self.detector.find_silent(12.0)["far"])
+        other = membership.FailureDetector()
+        other.record_relayed_silence(self.detector.find_silent(12.0), 12.0)
+        gone = 9.1 + const.RELAYED_SILENCE_SECONDS
+        self.assertNotIn("far", self.detector.find_silent(gone))
         self.assertNotIn("far", other.find_silent(gone))
 
-    def test_pace_of_a_large_fleet_is_no_silence(self):
+    def test_report_interval_of_large_fleet_is_no_silence(self):
         """A report each 2 s must not look like a death in between.
 
         Seen as neighbours that are out of reach before each report, and
         are told to be so to all others.
         """
-        pause = const.LARGE_REPORT_SECONDS
-        self.members.note_heard("near", 0.0)
-        self.assertEqual({}, self.members.find_silent(2.2, pause))
-        late = 2.6 * pause
-        self.assertEqual({"near": 0.0}, self.members.find_silent(late, pause))
+        interval = const.RING_REPORT_INTERVAL_SECONDS
+        self.detector.record_contact("near", 0.0)
+        self.assertEqual({}, self.detector.find_silent(2.2, interval))
+        late = 2.6 * interval
+        self.assertEqual(
+            {"near": 0.0}, self.detector.find_silent(late, interval)
+        )
 
-    def test_stranger_that_spoke_once_is_not_waited_for(self):
+    def test_contact_from_non_neighbour_is_not_monitored(self):
         """Only a neighbour owes signs of life."""
-        self.members.note_heard("stranger", 0.0)
-        self.assertNotIn("stranger", self.members.find_silent(60.0))
+        self.detector.record_contact("stranger", 0.0)
+        self.assertNotIn("stranger", self.detector.find_silent(60.0))
 
-    def test_own_ears_go_before_what_is_told(self):
+    def test_direct_contact_overrides_relayed_silence(self):
         """A neighbour that answers is not out of reach, whoever says so."""
-        self.members.note_told({"near": 0.0}, 1.0)
-        self.assertEqual({}, self.members.find_silent(1.0))
+        self.detector.record_relayed_silence({"near": 0.0}, 1.0)
+        self.assertEqual({}, self.detector.find_silent(1.0))
