--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -26,7 +26,7 @@
         """Decide nothing."""
         return []
 
-    def is_shown_warm(self, endpoint, now):
+    def has_warm_evidence(self, endpoint, now):
         """Return that it is warm."""
         return True
 
