--- a/citronport/assignment.py
+++ b/citronport/assignment.py
@@ -9,11 +9,11 @@
 from citronport.scheduler import models
 from citronport.scheduler import ownership
 
-ASSESS_SECONDS = 0.25
+UPDATE_INTERVAL_SECONDS = 0.25
 """Pause between two looks at leases; a lease is checked before each send
 to a cold endpoint all the same."""
 
-RELEASE_SECONDS = 10.0
+RELEASE_OFFER_SECONDS = 10.0
 """How long an endpoint that was given up is offered to its new owner."""
 
 
@@ -27,7 +27,7 @@
         post: takes events for the scheduler.
         count_running: returns how many requests are at an endpoint.
         send: sends a message to another instance.
-        follow: called when the owned endpoints may have changed.
+        on_owned_changed: called when the owned endpoints may have changed.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         post: collections.abc.Callable[[models.Event], None],
         count_running: collections.abc.Callable[[str], int],
         send: collections.abc.Callable[[str, messages.Message], None],
-        follow: collections.abc.Callable[[], None],
+        on_owned_changed: collections.abc.Callable[[], None],
     ) -> None:
         self._owners = owners
         self._published = published
@@ -46,15 +46,15 @@
         self._post = post
         self._count_running = count_running
         self._send = send
-        self._follow = follow
-        self._given: dict[str, float] = {}
+        self._on_owned_changed = on_owned_changed
+        self._released_at: dict[str, float] = {}
         self.current = models.OwnershipChanged(owned=frozenset())
 
     def serve(self) -> None:
         """Look at leases for ever."""
         while True:
-            self.assess()
-            self._ticker.sleep(ASSESS_SECONDS)
+            self.update()
+            self._ticker.sleep(UPDATE_INTERVAL_SECONDS)
 
     def apply(self, path: str) -> None:
         """Take a published value that changed."""
@@ -71,41 +71,43 @@
                 {e.name: e.data_centre for e in fleet.endpoints.values()}, now
             )
             self._post(models.FleetChanged(fleet=fleet))
-        self.assess()
-        self._follow()
+        self.update()
+        self._on_owned_changed()
 
-    def confirm_list(self, asked: float, version: int) -> None:
+    def record_list_confirmation(self, asked_at: float, version: int) -> None:
         """Note an answer of the platform about the instance list.
 
         A stale platform confirms an older list; that says nothing of the
         one in force here.
         """
         if version >= self._get_list_version():
-            self._owners.record_platform_confirmation(asked)
+            self._owners.record_platform_confirmation(asked_at)
 
-    def note_report(self, endpoint: str, report: models.LoadReport) -> None:
+    def record_load_report(
+        self, endpoint: str, report: models.LoadReport
+    ) -> None:
         """Note from a load report that an endpoint has no work."""
         if not report.running and not report.queued:
             self._owners.record_idle(endpoint, self._ticker.now() - report.age)
 
-    def assess(self) -> None:
+    def update(self) -> None:
         """Tell the scheduler what changed, and offer what was given up."""
         assigned = self._owners.get_ownership(self._ticker.now())
         if assigned != self.current:
             for endpoint in self.current.owned - assigned.owned:
-                self._given[endpoint] = self._ticker.now()
+                self._released_at[endpoint] = self._ticker.now()
             self.current = assigned
             self._post(assigned)
-            self._follow()
-        self._offer_given()
+            self._on_owned_changed()
+        self._offer_released()
 
-    def _offer_given(self) -> None:
+    def _offer_released(self) -> None:
         now = self._ticker.now()
-        for endpoint, since in list(self._given.items()):
+        for endpoint, since in list(self._released_at.items()):
             owner = self._owners.find_owner(endpoint)
             held = endpoint in self.current.owned
-            if held or owner is None or now - since > RELEASE_SECONDS:
-                del self._given[endpoint]
+            if held or owner is None or now - since > RELEASE_OFFER_SECONDS:
+                del self._released_at[endpoint]
             elif not self._count_running(endpoint):
                 release = messages.Release(
                     endpoint=endpoint, list_version=self._get_list_version()
--- a/citronport/callers/deduplication.py
+++ b/citronport/callers/deduplication.py
@@ -82,7 +82,7 @@
             run = runs.Run(work, self._abandon)
         else:
             run = runs.Run(
-                work, self._abandon, keep=True, settle=self._record_end
+                work, self._abandon, repeatable=True, on_ended=self._record_end
             )
             # The record stands before the run can be dispatched, so that
             # a repeat can not come in between.
@@ -125,6 +125,6 @@
 
 def make_refused_run(work: runs.Work, refusal: errors.Refusal) -> runs.Run:
     """Return a run whose whole answer is a refusal."""
-    run = runs.Run(work, lambda _run: None, keep=True)
+    run = runs.Run(work, lambda _run: None, repeatable=True)
     run.deliver(messages.Refused(refusal=refusal))
     return run
--- a/citronport/callers/idempotency.py
+++ b/citronport/callers/idempotency.py
@@ -146,7 +146,7 @@
         # one: the caller was told that it may send the request again.
         if run.was_not_run:
             return
-        run.forget_body()
+        run.release_body()
         record.ended = now
         self._ended[key] = record
         self._kept_answers.append(record)
@@ -205,7 +205,7 @@
             if not self._is_over_budget(growing) or record.run is None:
                 return
             growing -= _count_bytes(record)
-            record.run.forget_answer()
+            record.run.release_answer()
 
     def _is_over_budget(self, growing: int) -> bool:
         return self._ended_bytes + growing > self._answer_bytes
--- a/citronport/callers/request_headers.py
+++ b/citronport/callers/request_headers.py
@@ -111,12 +111,12 @@
 def _read_deadline(environ: Environ) -> float | None:
     text = get_header(environ, common.HEADER_DEADLINE)
     if not text:
-        return common.DEFAULT_DEADLINE
+        return common.DEFAULT_DEADLINE_SECONDS
     try:
         seconds = float(text)
     except ValueError:
         return None
-    if not 0 < seconds <= common.MAX_DEADLINE:
+    if not 0 < seconds <= common.MAX_DEADLINE_SECONDS:
         return None
     return seconds
 
--- a/citronport/catalogue/models.py
+++ b/citronport/catalogue/models.py
@@ -124,7 +124,7 @@
 
 def parse_catalogue(text: str) -> result.Result[CatalogueModel, str]:
     """Check the YAML text of a catalogue; see ``documents.check``."""
-    return documents.check(text, CatalogueModel)
+    return documents.parse(text, CatalogueModel)
 
 
 def make_fleet(catalogue: CatalogueModel) -> decisions.Fleet:
--- a/citronport/catalogue/store.py
+++ b/citronport/catalogue/store.py
@@ -158,7 +158,7 @@
     def _take_catalogue(
         self, published: client.Published, document: delta.Document
     ) -> bool:
-        checked = documents.check_raw(
+        checked = documents.validate(
             document, published.value, models.CatalogueModel
         )
         match checked:
@@ -177,7 +177,7 @@
     def _take_instances(
         self, published: client.Published, document: delta.Document
     ) -> bool:
-        checked = documents.check_raw(
+        checked = documents.validate(
             document, published.value, models.InstanceListModel
         )
         match checked:
--- a/citronport/commands.py
+++ b/citronport/commands.py
@@ -176,8 +176,8 @@
         order = parse(arguments)
     except UsageError as error:
         reason = f"{error} (see citronport --help)"
-        return orders.fail(reason, orders.EXIT_WRONG_USE)
-    return orders.carry_out(order)
+        return orders.report_failure(reason, orders.EXIT_WRONG_USE)
+    return orders.execute(order)
 
 
 def parse(arguments: list[str]) -> orders.Order:
@@ -192,18 +192,18 @@
         try:
             order = fire.Fire(
                 _Commands(),
-                command=_mark_flags(arguments),
+                command=_reject_separator(arguments),
                 name="citronport",
                 serialize=lambda _: None,
             )
         except fire_core.FireExit as error:
-            raise UsageError(_explain(error, arguments)) from None
+            raise UsageError(_describe_usage_error(error, arguments)) from None
     if not isinstance(order, orders.Order):
         raise UsageError(f"incomplete command: {' '.join(arguments)}")
     return order
 
 
-def _mark_flags(arguments: list[str]) -> list[str]:
+def _reject_separator(arguments: list[str]) -> list[str]:
     # fire takes what follows "--" for flags of its own, one of which
     # opens an interactive shell.
     if "--" in arguments:
@@ -211,7 +211,9 @@
     return arguments
 
 
-def _explain(error: fire_core.FireExit, arguments: list[str]) -> str:
+def _describe_usage_error(
+    error: fire_core.FireExit, arguments: list[str]
+) -> str:
     trace = error.trace
     last = trace.elements[-1]
     text = last.ErrorAsStr() if last.HasError() else "not understood"
--- a/citronport/const.py
+++ b/citronport/const.py
@@ -18,10 +18,10 @@
 HEADER_RETRY_AFTER_MS: Final = "Retry-After-Ms"
 HEADER_SHOULD_RETRY: Final = "X-Should-Retry"
 
-DEFAULT_DEADLINE: Final = 60.0
+DEFAULT_DEADLINE_SECONDS: Final = 60.0
 """Seconds a request may take when the caller names no deadline."""
 
-MAX_DEADLINE: Final = 600.0
+MAX_DEADLINE_SECONDS: Final = 600.0
 """Longest deadline a caller may ask for, seconds."""
 
 DEFAULT_MAX_TOKENS: Final = 256
--- a/citronport/core.py
+++ b/citronport/core.py
@@ -40,10 +40,10 @@
 
 LOG = "core:"
 
-POLL_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 """Pause between two looks at whether a start or a stop has got on."""
 
-READY_SECONDS = 5.0
+READY_TIMEOUT_SECONDS = 5.0
 """How long a start waits for a catalogue and for its endpoints before
 callers may connect; an endpoint that is down must not hold it up."""
 
@@ -77,10 +77,12 @@
             self.name, settings.trace_file, settings.trace_share
         )
         self.telemetry = telemetry.Telemetry(ticker, self._tracer)
-        self.tasks = tasks.Supervisor(ticker, self.telemetry.counts.note_death)
+        self.tasks = tasks.Supervisor(
+            ticker, self.telemetry.counts.record_task_death
+        )
         self.peers = self._make_peers()
-        self.watches = monitors.EndpointMonitors(
-            ticker, self._take_endpoint_event
+        self.endpoint_monitors = monitors.EndpointMonitors(
+            ticker, self._handle_endpoint_event
         )
         self.executor = executor.Executor(
             self.scheduler,
@@ -88,7 +90,7 @@
             self._forward,
             self.owners.may_send_cold,
             trace.make_event_recorder(self.name, settings.event_file),
-            self.watches.is_current,
+            self.endpoint_monitors.is_current,
             self.telemetry,
         )
         self.gossip = gossip.Gossip(
@@ -106,7 +108,7 @@
             self.executor.post,
             self.executor.count_running,
             self.peers.send,
-            self._watch_owned,
+            self._monitor_owned_endpoints,
         )
         self.directory = lookup.Directory(
             self.published,
@@ -116,11 +118,11 @@
             lambda: self.assignment.current.owners,
             ticker,
         )
-        self.keeper = deduplication.Deduplicator(
+        self.deduplicator = deduplication.Deduplicator(
             self.records,
             ticker,
             self.executor.submit,
-            self.executor.leave,
+            self.executor.report_abandoned,
             self._send_home,
             lambda: self._leaving,
         )
@@ -129,7 +131,7 @@
         self._stopped = gevent_event.Event()
         self._leaving = False
         self.status = self._make_status_reader()
-        self.published.listen(self._apply)
+        self.published.listen(self._apply_published)
 
     def serve(self) -> None:
         """Run until a stop is ordered and the work in progress is done."""
@@ -166,8 +168,8 @@
                 incarnation=self.incarnation,
             ),
             self.ticker,
-            self._take_run,
-            self._take_message,
+            self._submit_from_peer,
+            self._handle_message,
         )
 
     def _make_caller_server(self) -> caller_server.Server:
@@ -175,14 +177,14 @@
             self.published,
             self.records,
             self.ticker,
-            self._take_submission,
+            self._submit_from_caller,
             self.directory,
         )
         listener = self.settings.callers
         return caller_server.make_server(
             str(listener.address),
             listener.port,
-            telemetry.Listener(
+            telemetry.TelemetryMiddleware(
                 application,
                 self.telemetry.counts,
                 self._tracer,
@@ -228,13 +230,13 @@
             (
                 catalogue_const.PATH_INSTANCES,
                 catalogue_const.CONFIRM_SECONDS,
-                self.assignment.confirm_list,
+                self.assignment.record_list_confirmation,
                 # Each reads the list itself: a lease rests on it.
                 lambda path: True,
             ),
         )
         for path, wait, confirm, is_reader in watches:
-            self.tasks.keep(
+            self.tasks.start_restarting(
                 f"watch {path}",
                 catalogue_client.watch,
                 path,
@@ -243,22 +245,22 @@
                 self.ticker,
                 self.published.offer,
                 confirm,
-                self.telemetry.counts.note_read,
+                self.telemetry.counts.record_platform_read,
                 is_reader,
             )
-        self.tasks.keep("peer reports", self.gossip.report_forever)
-        self.tasks.keep("keeper", self.keeper.sweep_forever)
-        self.tasks.require("assignment", self.assignment.serve)
-        self.tasks.require("executor", self.executor.serve)
+        self.tasks.start_restarting("peer reports", self.gossip.report_forever)
+        self.tasks.start_restarting("keeper", self.deduplicator.sweep_forever)
+        self.tasks.start_required("assignment", self.assignment.serve)
+        self.tasks.start_required("executor", self.executor.serve)
 
     def _wait_until_ready(self) -> None:
         # A caller that connects before the first catalogue or the first
         # endpoint is here can only be refused; without a listener it goes
         # to its next address at once.
-        for _ in range(int(READY_SECONDS / POLL_SECONDS)):
+        for _ in range(int(READY_TIMEOUT_SECONDS / POLL_INTERVAL_SECONDS)):
             if self._is_ready() or self._stopped.is_set():
                 return
-            self.ticker.sleep(POLL_SECONDS)
+            self.ticker.sleep(POLL_INTERVAL_SECONDS)
 
     def _is_ready(self) -> bool:
         if not (self.published.fleet and self.published.instances):
@@ -275,21 +277,21 @@
         # instead of a broken connection, of which nobody knows the outcome.
         self.ticker.sleep(LINGER_SECONDS)
         self._wait_until_idle(callers)
-        self.assignment.assess()
+        self.assignment.update()
 
     def _wait_until_idle(self, callers: caller_server.Server) -> None:
         parts = (self.executor, self.peers, callers)
         while not all(part.is_idle() for part in parts):
-            self.ticker.sleep(POLL_SECONDS)
+            self.ticker.sleep(POLL_INTERVAL_SECONDS)
 
-    def _apply(self, path: str) -> None:
+    def _apply_published(self, path: str) -> None:
         self.assignment.apply(path)
         if not self._stopped.is_set():
-            self._set_leaving(self._is_out())
+            self._set_leaving(self._is_out_of_service())
 
-    def _is_out(self) -> bool:
-        me = self.published.instances.get(self.name)
-        if me is not None and me.state != models.Service.IN:
+    def _is_out_of_service(self) -> bool:
+        own_listing = self.published.instances.get(self.name)
+        if own_listing is not None and own_listing.state != models.Service.IN:
             return True
         fleet = self.published.fleet
         if fleet is None:
@@ -308,11 +310,11 @@
         self.owners.update_leaving(self.name, leaving, self.ticker.now())
         self.gossip.report()
 
-    def _watch_owned(self) -> None:
+    def _monitor_owned_endpoints(self) -> None:
         fleet = self.published.fleet
         if fleet is None:
             return
-        self.watches.assign(
+        self.endpoint_monitors.assign(
             {
                 name: fleet.endpoints[name].address
                 for name in self.assignment.current.owned
@@ -320,7 +322,7 @@
             }
         )
 
-    def _take_endpoint_event(self, event: models.Event) -> None:
+    def _handle_endpoint_event(self, event: models.Event) -> None:
         match event:
             case models.EndpointConnected():
                 self._connected.add(event.endpoint)
@@ -328,30 +330,32 @@
                 self._connected.discard(event.endpoint)
             case models.EndpointReported():
                 self._reports[event.endpoint] = event.report
-                self.assignment.note_report(event.endpoint, event.report)
+                self.assignment.record_load_report(
+                    event.endpoint, event.report
+                )
         self.executor.post(event)
 
-    def _take_message(
+    def _handle_message(
         self, sender: str, message: messages.Message
     ) -> messages.Message | None:
         return self.gossip.handle_message(sender, message)
 
-    def _take_submission(self, work: runs.Work) -> runs.Run:
-        telemetry.note_caller(work)
-        return self.keeper.submit(work)
+    def _submit_from_caller(self, work: runs.Work) -> runs.Run:
+        telemetry.attach_caller_header(work)
+        return self.deduplicator.submit(work)
 
-    def _take_run(self, work: runs.Work, role: str) -> runs.Run:
+    def _submit_from_peer(self, work: runs.Work, role: str) -> runs.Run:
         if role == instance_const.ROLE_HOME:
-            return self.keeper.submit(work, forwarded=True)
-        run = runs.Run(work, self.executor.leave)
+            return self.deduplicator.submit(work, forwarded=True)
+        run = runs.Run(work, self.executor.report_abandoned)
         self.executor.submit(run, forwarded=True)
         return run
 
     def _send_home(
         self, run: runs.Run, instance: str
     ) -> errors.Refusal | None:
-        run.watch = self.telemetry.watch(run.work, forwarded=True)
-        run.watch.forwarded(instance)
+        run.observer = self.telemetry.make_observer(run.work, forwarded=True)
+        run.observer.record_forward(instance)
         return self.peers.forward(run, instance, instance_const.ROLE_HOME)
 
     def _forward(self, run: runs.Run, instance: str) -> errors.Refusal | None:
--- a/citronport/documents.py
+++ b/citronport/documents.py
@@ -10,11 +10,11 @@
 import result
 import yaml
 
-MAX_FAULTS = 10
+MAX_REPORTED_FAULTS = 10
 """Faults told in one line; a missing key in 6,000 endpoints is one fault
 to the reader."""
 
-Place = tuple[int | str, ...]
+Location = tuple[int | str, ...]
 Model = TypeVar("Model", bound=pydantic.BaseModel)
 
 # The loader written in C reads a catalogue of 0.8 MB in 1.1 s instead of 6.5
@@ -44,14 +44,14 @@
         return super().construct_mapping(node, deep=deep)
 
 
-class _TwiceError(ValueError):
+class _DuplicateKeyError(ValueError):
     """A key stands twice."""
 
 
-def _take_once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     taken = dict(pairs)
     if len(taken) < len(pairs):
-        raise _TwiceError
+        raise _DuplicateKeyError
     return taken
 
 
@@ -62,7 +62,9 @@
     # finds fault, the other reader tells the line.
     if text.startswith("{"):
         with contextlib.suppress(ValueError):
-            return result.Ok(json.loads(text, object_pairs_hook=_take_once))
+            return result.Ok(
+                json.loads(text, object_pairs_hook=_reject_duplicate_keys)
+            )
     try:
         return result.Ok(yaml.load(text, Loader=_Loader))
     except yaml.MarkedYAMLError as error:
@@ -73,19 +75,19 @@
         return result.Err("not YAML: " + " ".join(str(error).split()))
 
 
-def make_error(place: Place, message: str) -> Exception:
+def make_error(location: Location, message: str) -> Exception:
     """Return the error to raise for a fault that spans several fields.
 
     Args:
-        place: path of the wrong value from the top of the document.
+        location: path of the wrong value from the top of the document.
         message: what is wrong with it.
     """
     return pydantic_core.PydanticCustomError(
-        "clash", "{message}", {"message": message, "place": place}
+        "clash", "{message}", {"message": message, "place": location}
     )
 
 
-def check(text: str, model: type[Model]) -> result.Result[Model, str]:
+def parse(text: str, model: type[Model]) -> result.Result[Model, str]:
     """Check a YAML text whole.
 
     Args:
@@ -99,10 +101,10 @@
         case result.Err(reason):
             return result.Err(reason)
         case result.Ok(raw):
-            return check_raw(raw, text, model)
+            return validate(raw, text, model)
 
 
-def check_raw(
+def validate(
     raw: Any, text: str, model: type[Model]
 ) -> result.Result[Model, str]:
     """Check what ``load`` made of a text; see ``check``."""
@@ -118,13 +120,13 @@
     root = yaml.compose(text, Loader=_Base)
     parts = []
     faults = error.errors(include_url=False)
-    for item in faults[:MAX_FAULTS]:
+    for item in faults[:MAX_REPORTED_FAULTS]:
         place = item.get("ctx", {}).get("place", item["loc"])
         name = ".".join(str(step) for step in place) or "(top)"
         line = _find_line(root, place)
         parts.append(f"line {line}: {name}: {_describe(item)}")
-    if len(faults) > MAX_FAULTS:
-        parts.append(f"and {len(faults) - MAX_FAULTS} more")
+    if len(faults) > MAX_REPORTED_FAULTS:
+        parts.append(f"and {len(faults) - MAX_REPORTED_FAULTS} more")
     return "; ".join(parts)
 
 
@@ -140,9 +142,9 @@
             return item["msg"]
 
 
-def _find_line(node: yaml.Node | None, place: Place) -> int:
+def _find_line(node: yaml.Node | None, location: Location) -> int:
     line = 1
-    for step in place:
+    for step in location:
         if node is None:
             return line
         line, node = _descend(node, step)
--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -21,7 +21,7 @@
 from citronport.scheduler import models
 
 LOG = "executor:"
-TICK_SECONDS = 0.05
+TICK_INTERVAL_SECONDS = 0.05
 """Longest time between two looks at deadlines."""
 
 FORWARD_GRACE_SECONDS = 0.25
@@ -29,11 +29,11 @@
 run", may take to come."""
 
 
-PAUSE_SECONDS = 1.0
+PAUSE_THRESHOLD_SECONDS = 1.0
 """A pause between two steps after which the view counts as old; twenty
 times the longest that a process that runs makes."""
 
-HOLD_SECONDS = 2.0
+LEASE_REQUIRED_SECONDS = 2.0
 """How long after a pause nothing is sent without a lease. In this time the
 list and the other instances, where they can be reached, have answered."""
 
@@ -46,7 +46,7 @@
         ticker: the clock.
         forward: hands a run to another instance; it delivers to the run
             and returns the code if the other instance did not run it.
-        may_feed_cold: whether one more request may go to an endpoint in
+        may_send_cold: whether one more request may go to an endpoint in
             cold start; asked directly before the send.
         record: takes each event and its actions, for the event trace.
         is_current: tells whether a start of an endpoint still runs.
@@ -60,7 +60,7 @@
         forward: collections.abc.Callable[
             [runs.Run, str], errors.Refusal | None
         ],
-        may_feed_cold: collections.abc.Callable[[str, float], bool],
+        may_send_cold: collections.abc.Callable[[str, float], bool],
         record: collections.abc.Callable[
             [models.Event, list[models.Action]], None
         ],
@@ -70,14 +70,14 @@
         self._scheduler = scheduler
         self._ticker = ticker
         self._forward = forward
-        self._may_feed_cold = may_feed_cold
+        self._may_send_cold = may_send_cold
         self._record = record
         self._telemetry = telemetry or telemetry_module.Telemetry(ticker)
         self._is_current = is_current
         self._client = client.Client()
         self._starts: dict[str, int] = {}
-        self._stepped = ticker.now()
-        self._woken = float("-inf")
+        self._last_step_at = ticker.now()
+        self._resumed_at = float("-inf")
         self._inbox: queue.Queue[models.Event] = queue.Queue()
         self._runs: dict[str, runs.Run] = {}
         self._tasks: dict[str, gevent.Greenlet] = {}
@@ -88,7 +88,9 @@
     def submit(self, run: runs.Run, *, forwarded: bool = False) -> None:
         """Take a run on; its answer comes through the run."""
         self._runs[run.request_id] = run
-        run.watch = self._telemetry.watch(run.work, forwarded=forwarded)
+        run.observer = self._telemetry.make_observer(
+            run.work, forwarded=forwarded
+        )
         self.post(
             models.RequestArrived(
                 request=run.work.request, forwarded=forwarded
@@ -99,7 +101,7 @@
         """Queue an event for the scheduler."""
         self._inbox.put(event)
 
-    def leave(self, run: runs.Run) -> None:
+    def report_abandoned(self, run: runs.Run) -> None:
         """Tell the scheduler that nobody waits for a run any more."""
         self.post(models.RequestLeft(request_id=run.request_id))
 
@@ -115,7 +117,7 @@
         """Handle events for ever."""
         while True:
             try:
-                event = self._inbox.get(timeout=TICK_SECONDS)
+                event = self._inbox.get(timeout=TICK_INTERVAL_SECONDS)
             except queue.Empty:
                 event = models.TimePassed()
             self._step(event)
@@ -130,7 +132,7 @@
         ):
             return
         now = self._ticker.now()
-        self._note_turn(now)
+        self._detect_pause(now)
         actions = self._scheduler.handle(event, now)
         self._record(event, actions)
         match event:
@@ -141,32 +143,34 @@
                 # this start of the endpoint.
                 self._starts[event.endpoint] = event.start
             case models.RequestArrived():
-                self._note_decided(event.request.request_id)
+                self._record_decision(event.request.request_id)
         for action in actions:
-            self._act(action)
+            self._execute(action)
         if isinstance(event, models.RequestLeft):
             self._abandon(event.request_id)
 
-    def _note_turn(self, now: float) -> None:
-        if now - self._stepped > PAUSE_SECONDS:
+    def _detect_pause(self, now: float) -> None:
+        if now - self._last_step_at > PAUSE_THRESHOLD_SECONDS:
             logging.warning("%s the process was stopped.", LOG)
-            self._woken = now
-        self._stepped = now
+            self._resumed_at = now
+        self._last_step_at = now
 
-    def _note_decided(self, request_id: str) -> None:
+    def _record_decision(self, request_id: str) -> None:
         run = self._runs.get(request_id)
         if run is not None:
-            run.watch.decided()
+            run.observer.record_decision()
 
-    def _act(self, action: models.Action) -> None:
+    def _execute(self, action: models.Action) -> None:
         match action:
             case models.Dispatch():
                 # Read here, in the step that decided: a start that is
                 # handled later is another one.
                 start = self._starts.get(action.endpoint, 0)
-                self._spawn(action.request_id, self._occupy, action, start)
+                self._spawn(
+                    action.request_id, self._dispatch_counted, action, start
+                )
             case models.Forward():
-                self._spawn(action.request_id, self._hand_over, action)
+                self._spawn(action.request_id, self._forward_run, action)
             case models.Refuse():
                 self._refuse(action)
             case models.Cancel():
@@ -175,12 +179,12 @@
     def _spawn(
         self,
         request_id: str,
-        act: collections.abc.Callable,
+        function: collections.abc.Callable,
         *details: Any,
     ) -> None:
         run = self._runs.get(request_id)
         if run is not None:
-            task = gevent.spawn(self._guard, act, run, *details)
+            task = gevent.spawn(self._run_guarded, function, run, *details)
             self._tasks[request_id] = task
             task.rawlink(lambda ended: self._end_task(request_id, ended))
 
@@ -188,25 +192,25 @@
         if self._tasks.get(request_id) is task:
             del self._tasks[request_id]
 
-    def _guard(
+    def _run_guarded(
         self,
-        act: collections.abc.Callable,
+        function: collections.abc.Callable,
         run: runs.Run,
         *details: Any,
     ) -> None:
         # An unforeseen error would end the task without a word: the
         # caller would wait for ever, and the endpoint's place stay taken.
         try:
-            act(run, *details)
+            function(run, *details)
         except Exception as error:
             logging.error(
                 "%s a request died of %s.", LOG, tasks.describe_error(error)
             )
-            self._telemetry.counts.note_death("request")
+            self._telemetry.counts.record_task_death("request")
             self._finish(run, errors.Refusal(code=errors.Code.INTERNAL))
             self.post(models.AnswerFinished(request_id=run.request_id))
 
-    def _occupy(
+    def _dispatch_counted(
         self, run: runs.Run, action: models.Dispatch, start: int
     ) -> None:
         self._at_endpoint[action.endpoint] += 1
@@ -234,13 +238,13 @@
                 first = False
                 self.post(models.FirstToken(request_id=run.request_id))
 
-        def may_send() -> bool:
+        def may_send_now() -> bool:
             now = self._ticker.now()
             if run.ended or now >= request.deadline:
                 return False
             if not self._is_current(action.endpoint, start):
                 return False
-            return self._may_feed(action.endpoint, now)
+            return self._may_send(action.endpoint, now)
 
         fleet = self._scheduler.fleet
         endpoint = fleet.endpoints.get(action.endpoint) if fleet else None
@@ -254,19 +258,19 @@
                 )
             )
             return
-        run.watch.dispatched(action.endpoint)
+        run.observer.record_dispatch(action.endpoint)
         left = request.deadline - self._ticker.now()
         call = dataclasses.replace(run.work.call, timeout=left)
         match self._client.run_call(
-            endpoint.address, start, call, may_send, deliver
+            endpoint.address, start, call, may_send_now, deliver
         ):
-            case result.Ok(whole):
-                run.deliver(messages.Finished(size=whole.size))
+            case result.Ok(completed):
+                run.deliver(messages.Finished(size=completed.size))
                 self.post(
                     models.AnswerFinished(
                         request_id=run.request_id,
-                        output_tokens=whole.output_tokens,
-                        cached_tokens=whole.cached_tokens,
+                        output_tokens=completed.output_tokens,
+                        cached_tokens=completed.cached_tokens,
                     )
                 )
             case result.Err(failure):
@@ -278,7 +282,7 @@
                 )
                 if not failure.sent:
                     # Decided again at once it would fail again at once.
-                    self._ticker.sleep(TICK_SECONDS)
+                    self._ticker.sleep(TICK_INTERVAL_SECONDS)
                 self.post(
                     models.DispatchFailed(
                         request_id=run.request_id,
@@ -287,19 +291,23 @@
                     )
                 )
 
-    def _may_feed(self, endpoint: str, now: float) -> bool:
+    def _may_send(self, endpoint: str, now: float) -> bool:
         # A process that was stopped may own the endpoint no more, and the
         # endpoint may have turned cold: its new owner and this one would
         # overfeed it together. Until it has been told what is in force, a
         # lease is needed; one that ran out in the pause forbids the send.
-        paused = now - self._stepped > PAUSE_SECONDS
-        held = paused or now - self._woken < HOLD_SECONDS
-        if not held and self._scheduler.has_warm_evidence(endpoint, now):
+        paused = now - self._last_step_at > PAUSE_THRESHOLD_SECONDS
+        lease_required = (
+            paused or now - self._resumed_at < LEASE_REQUIRED_SECONDS
+        )
+        if not lease_required and self._scheduler.has_warm_evidence(
+            endpoint, now
+        ):
             return True
-        return self._may_feed_cold(endpoint, now)
+        return self._may_send_cold(endpoint, now)
 
-    def _hand_over(self, run: runs.Run, action: models.Forward) -> None:
-        run.watch.forwarded(action.instance)
+    def _forward_run(self, run: runs.Run, action: models.Forward) -> None:
+        run.observer.record_forward(action.instance)
         refusal = self._forward_in_time(run, action.instance)
         if refusal is None:
             self.post(models.AnswerFinished(request_id=run.request_id))
@@ -308,7 +316,7 @@
             self._finish(run, refusal)
             self.post(models.AnswerFinished(request_id=run.request_id))
             return
-        run.watch.returned()
+        run.observer.record_return()
         # The other instance said in so many words that it did not run the
         # request, so that it may be decided again here.
         self._refusals[run.request_id] = refusal
@@ -355,12 +363,12 @@
             task.kill(block=False)
         run = self._runs.get(action.request_id)
         if run is not None:
-            run.watch.end(telemetry_module.OUTCOME_LEFT)
+            run.observer.record_end(telemetry_module.OUTCOME_LEFT)
             # A repeat may have joined since the last caller left.
             self._finish(run, errors.Refusal(code=errors.Code.ABANDONED))
-        gevent.spawn(self._stop_work, action)
+        gevent.spawn(self._cancel_at_endpoint, action)
 
-    def _stop_work(self, action: models.Cancel) -> None:
+    def _cancel_at_endpoint(self, action: models.Cancel) -> None:
         # The place counts as taken until the endpoint says that it is
         # free: one in cold start would else get the next request while
         # it still works at this one.
@@ -386,12 +394,12 @@
         else:
             task.kill(block=False)
             code = errors.Code.ABANDONED
-        run.watch.end(telemetry_module.OUTCOME_LEFT)
+        run.observer.record_end(telemetry_module.OUTCOME_LEFT)
         self._finish(run, errors.Refusal(code=code))
 
     def _forget(self, request_id: str) -> None:
         run = self._runs.pop(request_id, None)
         if run is not None:
-            run.watch.end(telemetry_module.OUTCOME_LEFT)
+            run.observer.record_end(telemetry_module.OUTCOME_LEFT)
         self._refused_by.pop(request_id, None)
         self._refusals.pop(request_id, None)
--- a/citronport/logs.py
+++ b/citronport/logs.py
@@ -12,7 +12,7 @@
 }
 
 
-def set_up(level: settings.LogLevel) -> None:
+def configure(level: settings.LogLevel) -> None:
     """Send log lines of a level and above to standard error."""
     # The command line is fire's; absl warns until its flags were parsed.
     flags.FLAGS.mark_as_parsed()
--- a/citronport/operators/metrics.py
+++ b/citronport/operators/metrics.py
@@ -128,7 +128,7 @@
         "citronport_first_token_seconds",
         "Time to the first piece of an answer.",
         registry=registry,
-        buckets=telemetry.FIRST_TOKEN_BUCKETS,
+        buckets=telemetry.FIRST_TOKEN_BUCKETS_SECONDS,
     )
     for tier, observed in enumerate(counts.first_token):
         collector.set_value({"tier": str(tier)}, observed)
--- a/citronport/orders.py
+++ b/citronport/orders.py
@@ -93,7 +93,7 @@
 )
 
 
-def carry_out(order: Order) -> int:
+def execute(order: Order) -> int:
     """Carry out an order; return the exit code."""
     match order:
         case Serve():
@@ -121,7 +121,7 @@
             return 0
 
 
-def fail(reason: str, code: int) -> int:
+def report_failure(reason: str, code: int) -> int:
     """Print one line for the operator; return the exit code."""
     print(f"citronport: {reason}", file=sys.stderr)
     return code
@@ -132,16 +132,16 @@
 
     match settings.read_settings(pathlib.Path(order.path)):
         case result.Err(reason):
-            return fail(reason, EXIT_WRONG_USE)
+            return report_failure(reason, EXIT_WRONG_USE)
         case result.Ok(checked):
             pass
-    logs.set_up(checked.log_level)
+    logs.configure(checked.log_level)
     try:
         core.Daemon(checked, clock.RuntimeClock()).serve()
     except OSError as error:
         # An address that is taken or not this machine's, or a file that
         # can not be written.
-        return fail(str(error), EXIT_FAILED)
+        return report_failure(str(error), EXIT_FAILED)
     return 0
 
 
@@ -153,14 +153,14 @@
     match relay_settings.read_settings(path):
         case result.Err(reason):
             fault = int(errors.InputFault.BAD_SETTINGS)
-            return fail(f"{fault}: {reason}", EXIT_WRONG_USE)
+            return report_failure(f"{fault}: {reason}", EXIT_WRONG_USE)
         case result.Ok(checked):
             pass
-    logs.set_up(checked.log_level)
+    logs.configure(checked.log_level)
     try:
         relay_core.Instance(path, checked, clock.RuntimeClock()).serve()
     except OSError as error:
-        return fail(str(error), EXIT_FAILED)
+        return report_failure(str(error), EXIT_FAILED)
     return 0
 
 
@@ -170,7 +170,7 @@
     paths = [pathlib.Path(path) for path in order.paths]
     match explanation.explain(order.request, paths):
         case result.Err(reason):
-            return fail(reason, EXIT_FAILED)
+            return report_failure(reason, EXIT_FAILED)
         case result.Ok(found):
             print(explanation.render(found))
             return 0
@@ -182,7 +182,7 @@
 ) -> int:
     match checked:
         case result.Err(reason):
-            return fail(reason, EXIT_WRONG_USE)
+            return report_failure(reason, EXIT_WRONG_USE)
         case result.Ok(value):
             print(describe(value))
             return 0
@@ -217,7 +217,7 @@
     if order.path is not None:
         match settings.read_settings(pathlib.Path(order.path)):
             case result.Err(reason):
-                return fail(reason, EXIT_WRONG_USE)
+                return report_failure(reason, EXIT_WRONG_USE)
             case result.Ok(checked):
                 addresses.append(str(checked.operators))
     answers = operator_client.read_fleet(addresses, _show_progress)
@@ -241,7 +241,7 @@
 
     match operator_client.order_drain(order.address):
         case result.Err(reason):
-            return fail(f"{order.address}: {reason}", EXIT_FAILED)
+            return report_failure(f"{order.address}: {reason}", EXIT_FAILED)
         case result.Ok(_):
             print(f"{order.address} is leaving")
     if not order.wait:
@@ -249,7 +249,7 @@
     if operator_client.wait_for_end(order.address, _show_left):
         print(f"{order.address} has ended")
         return 0
-    return fail(f"{order.address} has not ended", EXIT_FAILED)
+    return report_failure(f"{order.address} has not ended", EXIT_FAILED)
 
 
 def _show_left(running: int) -> None:
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -329,7 +329,7 @@
         ]
 
     def _start_tasks(self) -> None:
-        keep = self._tasks.keep
+        keep = self._tasks.start_restarting
         keep("follower", self.follower.follow)
         keep("receiver", self.gossip.receive)
         keep("reporter", self.gossip.report_forever)
--- a/citronport/relay/settings.py
+++ b/citronport/relay/settings.py
@@ -125,5 +125,5 @@
         case result.Err(reason):
             return result.Err(reason)
         case result.Ok(text):
-            checked = documents.check(text, Settings)
+            checked = documents.parse(text, Settings)
             return checked.map_err(lambda r: f"{path}: {r}")
--- a/citronport/runs.py
+++ b/citronport/runs.py
@@ -39,30 +39,30 @@
 
     Args:
         work: the request.
-        leave: called when the last reader has gone before the end.
-        keep: whether the run goes on without readers, because a repeat
+        on_abandoned: called when the last reader has gone before the end.
+        repeatable: whether the run goes on without readers, because a repeat
             may come.
-        settle: called once the run has ended.
+        on_ended: called once the run has ended.
     """
 
     def __init__(
         self,
         work: Work,
-        leave: collections.abc.Callable[["Run"], None],
+        on_abandoned: collections.abc.Callable[["Run"], None],
         *,
-        keep: bool = False,
-        settle: collections.abc.Callable[["Run"], None] | None = None,
+        repeatable: bool = False,
+        on_ended: collections.abc.Callable[["Run"], None] | None = None,
     ) -> None:
         self.work = work
         self.ended = False
-        self.keep = keep
-        self.watch: telemetry.Watch | None = None
+        self.repeatable = repeatable
+        self.observer: telemetry.RequestObserver | None = None
         self.kept_bytes = 0
-        self.answer_kept = keep
+        self.answer_kept = repeatable
         self.was_not_run = False
-        self._leave = leave
-        self._settle = settle
-        self._log: list[messages.Message] = []
+        self._on_abandoned = on_abandoned
+        self._on_ended = on_ended
+        self._history: list[messages.Message] = []
         self._readers: list[queue.Queue[messages.Message]] = []
 
     @property
@@ -77,36 +77,36 @@
         if self.ended:
             return
         self.ended = isinstance(message, messages.Finished | messages.Refused)
-        if self.watch is not None:
-            self.watch.see(message)
+        if self.observer is not None:
+            self.observer.record_message(message)
         if isinstance(message, messages.Refused):
             ran = message.refusal.meaning.ran
             self.was_not_run = ran == errors.Ran.NOT_RUN
         # A refusal can come before its reader does; dropped, it would
         # leave the caller waiting until its own timeout.
-        early = not self.keep and not self._readers
-        if self.answer_kept or early:
-            self._log.append(message)
+        before_reader = not self.repeatable and not self._readers
+        if self.answer_kept or before_reader:
+            self._history.append(message)
         if self.answer_kept and isinstance(message, messages.Chunk):
             self.kept_bytes += len(message.data)
         for reader in self._readers:
             reader.put(message)
-        if self.ended and self._settle is not None:
-            self._settle(self)
+        if self.ended and self._on_ended is not None:
+            self._on_ended(self)
 
     @property
     def has_readers(self) -> bool:
         """Whether somebody waits for the answer."""
         return bool(self._readers)
 
-    def forget_body(self) -> None:
+    def release_body(self) -> None:
         """Free the body, which nobody needs once the run has ended."""
         call = dataclasses.replace(self.work.call, body=b"")
         self.work = dataclasses.replace(self.work, call=call)
 
-    def forget_answer(self) -> None:
+    def release_answer(self) -> None:
         """Free the kept answer; nobody can join the run any more."""
-        self._log.clear()
+        self._history.clear()
         self.kept_bytes = 0
         self.answer_kept = False
 
@@ -116,11 +116,11 @@
         A reader that stops before the end counts as gone.
         """
         inbox = self.attach()
-        whole = False
+        ended = False
         try:
-            while not whole:
+            while not ended:
                 message = inbox.get()
-                whole = isinstance(
+                ended = isinstance(
                     message, messages.Finished | messages.Refused
                 )
                 yield message
@@ -130,15 +130,15 @@
     def attach(self) -> queue.Queue[messages.Message]:
         """Return a queue that gets the answer from its start."""
         inbox: queue.Queue[messages.Message] = queue.Queue()
-        for message in self._log:
+        for message in self._history:
             inbox.put(message)
-        if not self.keep:
-            self._log.clear()
+        if not self.repeatable:
+            self._history.clear()
         self._readers.append(inbox)
         return inbox
 
     def detach(self, inbox: queue.Queue[messages.Message]) -> None:
         """Take a reader off; without readers the run is given up."""
         self._readers.remove(inbox)
-        if not self._readers and not self.ended and not self.keep:
-            self._leave(self)
+        if not self._readers and not self.ended and not self.repeatable:
+            self._on_abandoned(self)
--- a/citronport/settings.py
+++ b/citronport/settings.py
@@ -114,7 +114,7 @@
 
 def parse_settings(text: str) -> result.Result[Settings, str]:
     """Check the text of a settings file; see ``read_settings``."""
-    return documents.check(text, Settings)
+    return documents.parse(text, Settings)
 
 
 def read_text(path: pathlib.Path) -> result.Result[str, str]:
--- a/citronport/spans.py
+++ b/citronport/spans.py
@@ -49,14 +49,14 @@
     Args:
         instance: name that goes into each span.
         exporter: takes the spans that ended.
-        share: share of the requests to trace, 0 to 1.
+        sample_ratio: share of the requests to trace, 0 to 1.
     """
 
     def __init__(
-        self, instance: str, exporter: export.SpanExporter, share: float
+        self, instance: str, exporter: export.SpanExporter, sample_ratio: float
     ) -> None:
         provider = sdk_trace.TracerProvider(
-            sampler=sampling.ParentBasedTraceIdRatio(share),
+            sampler=sampling.ParentBasedTraceIdRatio(sample_ratio),
             resource=resources.Resource({"service.instance.id": instance}),
             shutdown_on_exit=False,
         )
@@ -80,15 +80,15 @@
 
 
 def make_tracer(
-    instance: str, path: str | None, share: float
+    instance: str, path: str | None, sample_ratio: float
 ) -> Tracer | None:
     """Return a tracer that writes to a file, None without a file."""
     if path is None:
         return None
-    return Tracer(instance, FileExporter(path), share)
+    return Tracer(instance, FileExporter(path), sample_ratio)
 
 
-def check_header(text: str) -> str:
+def validate_header(text: str) -> str:
     """Return a caller's trace header if it has the usual form, else ""."""
     return text if _PATTERN.match(text) else ""
 
--- a/citronport/tasks.py
+++ b/citronport/tasks.py
@@ -25,21 +25,21 @@
 
     Args:
         ticker: the clock.
-        note: called with the name of each task that died.
+        on_death: called with the name of each task that died.
     """
 
     def __init__(
         self,
         ticker: clock.Clock,
-        note: collections.abc.Callable[[str], None],
+        on_death: collections.abc.Callable[[str], None],
     ) -> None:
         self._ticker = ticker
-        self._note = note
+        self._on_death = on_death
 
-    def keep(
+    def start_restarting(
         self,
         name: str,
-        act: collections.abc.Callable[..., None],
+        function: collections.abc.Callable[..., None],
         *arguments: Any,
     ) -> gevent.Greenlet:
         """Start a task and start it again whenever it dies.
@@ -47,12 +47,12 @@
         For tasks whose state is outside of them or can be lost: watches,
         reports, sweeps.
         """
-        return gevent.spawn(self._run_again, name, act, arguments)
+        return gevent.spawn(self._run_with_restarts, name, function, arguments)
 
-    def require(
+    def start_required(
         self,
         name: str,
-        act: collections.abc.Callable[..., None],
+        function: collections.abc.Callable[..., None],
         *arguments: Any,
     ) -> gevent.Greenlet:
         """Start a task and end the process if it dies.
@@ -63,7 +63,7 @@
         lost. A process that ends tells its callers the truth at once:
         their connections break, which reads "outcome unknown".
         """
-        return gevent.spawn(self._run_once, name, act, arguments)
+        return gevent.spawn(self._run_required, name, function, arguments)
 
     def report_unhandled(self) -> None:
         """Log and count other tasks that die, without their values.
@@ -71,40 +71,40 @@
         gevent prints a traceback with the error's text, which may hold a
         caller's content; only the kind and the place go into the log.
         """
-        gevent.get_hub().print_exception = self._report
+        gevent.get_hub().print_exception = self._report_unhandled
 
-    def _run_again(
+    def _run_with_restarts(
         self,
         name: str,
-        act: collections.abc.Callable[..., None],
+        function: collections.abc.Callable[..., None],
         arguments: tuple,
     ) -> None:
         while True:
             try:
-                act(*arguments)
+                function(*arguments)
                 return
             except Exception as error:
-                self._tell(name, error)
+                self._record_death(name, error)
             self._ticker.sleep(RESTART_SECONDS)
 
-    def _run_once(
+    def _run_required(
         self,
         name: str,
-        act: collections.abc.Callable[..., None],
+        function: collections.abc.Callable[..., None],
         arguments: tuple,
     ) -> None:
         try:
-            act(*arguments)
+            function(*arguments)
         except Exception as error:
-            self._tell(name, error)
+            self._record_death(name, error)
             logging.error("%s The process ends without %s.", LOG, name)
             raise SystemExit(EXIT_TASK_DIED) from None
 
-    def _tell(self, name: str, error: BaseException) -> None:
-        self._note(name)
+    def _record_death(self, name: str, error: BaseException) -> None:
+        self._on_death(name)
         logging.error("%s %s died of %s.", LOG, name, describe_error(error))
 
-    def _report(
+    def _report_unhandled(
         self,
         context: Any,
         kind: type[BaseException],
@@ -113,7 +113,7 @@
     ) -> None:
         if value is None or isinstance(value, KeyboardInterrupt):
             return
-        self._tell("unnamed", value.with_traceback(trace))
+        self._record_death("unnamed", value.with_traceback(trace))
 
 
 def describe_error(error: BaseException) -> str:
--- a/citronport/telemetry.py
+++ b/citronport/telemetry.py
@@ -13,7 +13,7 @@
 from citronport import spans
 from citronport.endpoints import messages
 
-FIRST_TOKEN_BUCKETS = (
+FIRST_TOKEN_BUCKETS_SECONDS = (
     0.05, 0.1, 0.2, 0.35, 0.53, 0.75, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
     float("inf"),
 )  # fmt: skip
@@ -23,7 +23,7 @@
 OUTCOME_LATE = "late"
 OUTCOME_LEFT = "left"
 
-CALLER_TRACE: contextvars.ContextVar[str] = contextvars.ContextVar(
+CALLER_TRACE_HEADER: contextvars.ContextVar[str] = contextvars.ContextVar(
     "caller_trace", default=""
 )
 """Trace header of the HTTP request that this task answers."""
@@ -52,7 +52,7 @@
         )
         self.refusals: collections.Counter[int] = collections.Counter()
         self.first_token = [
-            histogram.Histogram(*FIRST_TOKEN_BUCKETS)
+            histogram.Histogram(*FIRST_TOKEN_BUCKETS_SECONDS)
             for _ in range(const.TIERS)
         ]
         self.task_deaths: collections.Counter[str] = collections.Counter()
@@ -60,16 +60,16 @@
             collections.Counter()
         )
 
-    def note_death(self, task: str) -> None:
+    def record_task_death(self, task: str) -> None:
         """Count a task that died."""
         self.task_deaths[task] += 1
 
-    def note_read(self, path: str, outcome: str) -> None:
+    def record_platform_read(self, path: str, outcome: str) -> None:
         """Count a call to the platform."""
         self.platform_reads[path, outcome] += 1
 
 
-class Watch:
+class RequestObserver:
     """Follows one request here through its hops.
 
     Args:
@@ -77,16 +77,16 @@
         counts: gets its outcome; None if another instance counts it.
         ticker: the clock.
         tracer: None if traces are off.
-        caller: trace header that came with the request, or empty.
+        caller_header: trace header that came with the request, or empty.
     """
 
     __slots__ = (
         "_counts",
-        "_first",
+        "_awaits_first_chunk",
         "_headers",
-        "_hops",
+        "_hop_spans",
         "_request",
-        "_started",
+        "_started_at",
         "_ticker",
     )
 
@@ -96,75 +96,75 @@
         counts: Counts | None,
         ticker: clock.Clock,
         tracer: spans.Tracer | None,
-        caller: str,
+        caller_header: str,
     ) -> None:
         # Not the work whole: a kept run lets go of its body at its end.
         self._request = work.request
         self._headers = work.call.headers
         self._counts = counts
         self._ticker = ticker
-        self._first = True
-        self._started = ticker.now()
-        self._hops = _make_hops(work, tracer, caller)
-        if self._hops is not None:
-            self._hops.enter("admission")
+        self._awaits_first_chunk = True
+        self._started_at = ticker.now()
+        self._hop_spans = _start_hop_spans(work, tracer, caller_header)
+        if self._hop_spans is not None:
+            self._hop_spans.enter("admission")
 
-    def decided(self) -> None:
+    def record_decision(self) -> None:
         """Note that the scheduler has seen the request."""
-        if self._hops is not None and self._hops.name == "admission":
-            self._hops.enter("queue")
+        if self._hop_spans is not None and self._hop_spans.name == "admission":
+            self._hop_spans.enter("queue")
 
-    def dispatched(self, endpoint: str) -> None:
+    def record_dispatch(self, endpoint: str) -> None:
         """Note that the request goes to an endpoint now."""
-        if self._hops is not None:
-            self._hops.enter("dispatch", {"endpoint": endpoint})
-            self._hops.carry(self._headers)
+        if self._hop_spans is not None:
+            self._hop_spans.enter("dispatch", {"endpoint": endpoint})
+            self._hop_spans.write_header(self._headers)
 
-    def forwarded(self, instance: str) -> None:
+    def record_forward(self, instance: str) -> None:
         """Note that the request goes to another instance now."""
-        if self._hops is not None:
-            self._hops.enter("forward", {"instance": instance})
-            self._hops.carry(self._headers)
+        if self._hop_spans is not None:
+            self._hop_spans.enter("forward", {"instance": instance})
+            self._hop_spans.write_header(self._headers)
 
-    def returned(self) -> None:
+    def record_return(self) -> None:
         """Note that another instance did not run the request."""
-        if self._hops is not None:
-            self._hops.enter("admission")
+        if self._hop_spans is not None:
+            self._hop_spans.enter("admission")
 
-    def see(self, message: messages.Message) -> None:
+    def record_message(self, message: messages.Message) -> None:
         """Note a message of the answer."""
         if isinstance(message, messages.Chunk):
             # The one line that each piece of each answer passes.
-            if self._first:
-                self._note_first()
+            if self._awaits_first_chunk:
+                self._record_first_chunk()
             return
         match message:
             case messages.Finished():
                 late = self._ticker.now() > self._request.deadline
-                self.end(OUTCOME_LATE if late else OUTCOME_WHOLE)
+                self.record_end(OUTCOME_LATE if late else OUTCOME_WHOLE)
             case messages.Refused():
-                self.end(str(int(message.refusal.code)))
+                self.record_end(str(int(message.refusal.code)))
 
-    def end(self, outcome: str) -> None:
+    def record_end(self, outcome: str) -> None:
         """Note the end; a later one is not counted."""
         counts, self._counts = self._counts, None
         if counts is not None:
             counts.outcomes[self._request.tier, outcome] += 1
-        if self._hops is not None:
-            self._hops.end({"outcome": outcome})
-            self._hops = None
+        if self._hop_spans is not None:
+            self._hop_spans.end({"outcome": outcome})
+            self._hop_spans = None
 
-    def _note_first(self) -> None:
-        self._first = False
+    def _record_first_chunk(self) -> None:
+        self._awaits_first_chunk = False
         if self._counts is not None:
-            seconds = self._ticker.now() - self._started
+            seconds = self._ticker.now() - self._started_at
             tier = self._request.tier
             self._counts.first_token[tier].observe(seconds)
-        if self._hops is not None and self._hops.name == "dispatch":
-            self._hops.enter("stream")
+        if self._hop_spans is not None and self._hop_spans.name == "dispatch":
+            self._hop_spans.enter("stream")
 
 
-class _Hops:
+class _HopSpans:
     """The span of a request here and, under it, the one of its hop."""
 
     __slots__ = ("_hop", "_parent", "_root", "_tracer", "name")
@@ -185,7 +185,7 @@
         self.name = name
         self._hop = self._tracer.start(name, self._parent, attributes)
 
-    def carry(self, headers: dict[str, str]) -> None:
+    def write_header(self, headers: dict[str, str]) -> None:
         """Name the hop as the parent of what the next process does."""
         if self._hop is not None:
             spans.write_header(self._hop, headers)
@@ -198,15 +198,15 @@
         self._root.end()
 
 
-def _make_hops(
-    work: runs.Work, tracer: spans.Tracer | None, caller: str
-) -> _Hops | None:
+def _start_hop_spans(
+    work: runs.Work, tracer: spans.Tracer | None, caller_header: str
+) -> _HopSpans | None:
     if tracer is None:
         return None
     request = work.request
     root = tracer.start(
         "request",
-        spans.read_header(caller),
+        spans.read_header(caller_header),
         {
             "request": request.request_id,
             "tier": request.tier,
@@ -218,16 +218,16 @@
         # hops, so that none of them samples a part of the trace.
         spans.write_header(root, work.call.headers)
         return None
-    return _Hops(tracer, root)
+    return _HopSpans(tracer, root)
 
 
-def note_caller(work: runs.Work) -> None:
+def attach_caller_header(work: runs.Work) -> None:
     """Have a request carry the trace header that its caller sent.
 
     Called by the task that answers the caller; from here on the header
     goes with the request through other tasks and instances.
     """
-    caller = CALLER_TRACE.get()
+    caller = CALLER_TRACE_HEADER.get()
     if caller:
         work.call.headers[spans.HEADER] = caller
 
@@ -247,14 +247,16 @@
         self._ticker = ticker
         self._tracer = tracer
 
-    def watch(self, work: runs.Work, *, forwarded: bool) -> Watch:
+    def make_observer(
+        self, work: runs.Work, *, forwarded: bool
+    ) -> RequestObserver:
         """Return what follows a request that came in now.
 
         Args:
             work: the request.
             forwarded: whether another instance sent it, which counts it.
         """
-        return Watch(
+        return RequestObserver(
             work,
             None if forwarded else self.counts,
             self._ticker,
@@ -263,7 +265,7 @@
         )
 
 
-class Listener:
+class TelemetryMiddleware:
     """The WSGI application for callers, watched.
 
     Args:
@@ -290,24 +292,26 @@
         # A connection's requests are answered by one task one after the
         # other, so that the header of the one before must not stay.
         caller = environ.get("HTTP_TRACEPARENT", "")
-        CALLER_TRACE.set(spans.check_header(caller) if caller else "")
+        CALLER_TRACE_HEADER.set(
+            spans.validate_header(caller) if caller else ""
+        )
 
         def start(status: str, headers: list, *rest: Any) -> Any:
             if status[0] in "45":
-                self._note_refusal(headers)
+                self._count_refusal(headers)
             return start_response(status, headers, *rest)
 
         if self._tracer is None or environ["PATH_INFO"] != self._lookup_path:
             return self._application(environ, start)
         span = self._tracer.start(
-            "lookup", spans.read_header(CALLER_TRACE.get())
+            "lookup", spans.read_header(CALLER_TRACE_HEADER.get())
         )
         try:
             return self._application(environ, start)
         finally:
             span.end()
 
-    def _note_refusal(self, headers: list[tuple[str, str]]) -> None:
+    def _count_refusal(self, headers: list[tuple[str, str]]) -> None:
         for name, value in headers:
             if name == const.HEADER_CODE:
                 self._counts.refusals[int(value)] += 1
--- a/measures/telemetry.py
+++ b/measures/telemetry.py
@@ -29,13 +29,13 @@
 class _Inert:
     """A watch that does nothing, to take the loop's own cost away."""
 
-    def see(self, message: messages.Message) -> None:
+    def record_message(self, message: messages.Message) -> None:
         pass
 
-    def decided(self) -> None:
+    def record_decision(self) -> None:
         pass
 
-    def dispatched(self, endpoint: str) -> None:
+    def record_dispatch(self, endpoint: str) -> None:
         pass
 
 
@@ -66,13 +66,15 @@
     started = time.process_time()
     for _ in range(requests):
         work = _make_work()
-        watch = made.watch(work, forwarded=False) if made else inert
-        watch.decided()
-        watch.dispatched("engine-1")
-        watch.see(messages.Started(status=200, content_type="text/plain"))
+        watch = made.make_observer(work, forwarded=False) if made else inert
+        watch.record_decision()
+        watch.record_dispatch("engine-1")
+        watch.record_message(
+            messages.Started(status=200, content_type="text/plain")
+        )
         for _ in range(PIECES):
-            watch.see(CHUNK)
-        watch.see(messages.Finished(size=PIECES))
+            watch.record_message(CHUNK)
+        watch.record_message(messages.Finished(size=PIECES))
     return (time.process_time() - started) / requests
 
 
--- a/tests/callers/test_idempotency.py
+++ b/tests/callers/test_idempotency.py
@@ -52,8 +52,10 @@
         run = runs.Run(
             make_work(identity, **options),
             lambda run: None,
-            keep=True,
-            settle=lambda run: self.records.record_end(run, self.ticker.now()),
+            repeatable=True,
+            on_ended=lambda run: self.records.record_end(
+                run, self.ticker.now()
+            ),
         )
         self.records.add(identity, run)
         return run
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -31,7 +31,7 @@
         return True
 
 
-class LateWakerTest(testtools.TestCase):
+class ResumedProcessTest(testtools.TestCase):
     """A process that was stopped acts on an old view."""
 
     def setUp(self):
@@ -48,9 +48,9 @@
             lambda endpoint, start: True,
         )
 
-    def may_feed(self):
+    def may_send(self):
         """Ask as the dispatch task does before the first byte."""
-        return self.executor._may_feed("engine", self.ticker.now())
+        return self.executor._may_send("engine", self.ticker.now())
 
     def step(self, seconds):
         """Let time pass, then let the executor have its turn."""
@@ -60,7 +60,7 @@
     def test_warm_endpoint_needs_no_lease(self):
         """An outage of the platform alone stops no warm endpoint."""
         self.step(0.05)
-        self.assertTrue(self.may_feed())
+        self.assertTrue(self.may_send())
 
     def test_no_send_between_wake_and_first_step(self):
         """The dispatch task may get its turn before the executor does.
@@ -70,7 +70,7 @@
         more than it bears.
         """
         self.ticker.advance(4.0)
-        self.assertFalse(self.may_feed())
+        self.assertFalse(self.may_send())
 
     def test_no_send_without_lease_after_a_pause(self):
         """What is in force is told within the hold; then all is as before.
@@ -80,13 +80,13 @@
         """
         self.step(4.0)
         self.step(0.05)
-        self.assertFalse(self.may_feed())
+        self.assertFalse(self.may_send())
         self.leased = True
-        self.assertTrue(self.may_feed())
+        self.assertTrue(self.may_send())
         self.leased = False
         for _ in range(45):
             self.step(0.05)
-        self.assertTrue(self.may_feed())
+        self.assertTrue(self.may_send())
 
 
 class ScriptedScheduler:
@@ -94,13 +94,13 @@
 
     def __init__(self, action):
         self.fleet = FLEET
-        self.heard = []
+        self.events = []
         self.ended = gevent_event.Event()
         self._action = action
 
     def handle(self, event, now):
         """Answer a new request with the action."""
-        self.heard.append(event)
+        self.events.append(event)
         match event:
             case models.RequestArrived():
                 return [self._action]
@@ -178,7 +178,7 @@
             ),
             None,
         )
-        failed = scheduler.heard[-1]
+        failed = scheduler.events[-1]
         self.assertIsInstance(failed, models.DispatchFailed)
         self.assertFalse(failed.sent)
         self.assertEqual(errors.Ran.NOT_RUN, message.refusal.meaning.ran)
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -8,9 +8,11 @@
 from tests import samples
 
 
-def make_run(*, keep=False):
+def make_run(*, repeatable=False):
     """Return a run that nobody reads yet."""
-    return runs.Run(samples.make_work(), lambda run: None, keep=keep)
+    return runs.Run(
+        samples.make_work(), lambda run: None, repeatable=repeatable
+    )
 
 
 class RunTest(testtools.TestCase):
@@ -32,7 +34,7 @@
 
     def test_second_reader_gets_all_of_a_kept_run(self):
         """A repeat joins and reads from the start."""
-        run = make_run(keep=True)
+        run = make_run(repeatable=True)
         piece = messages.Chunk(offset=0, data=b"x")
         end = messages.Finished(size=1)
         first = run.attach()
@@ -43,7 +45,7 @@
 
     def test_nothing_follows_the_end(self):
         """A late piece after the final answer is dropped."""
-        run = make_run(keep=True)
+        run = make_run(repeatable=True)
         end = messages.Finished(size=0)
         run.deliver(end)
         run.deliver(messages.Chunk(offset=0, data=b"late"))
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -36,7 +36,7 @@
                 raise KeyError(SECRET)
 
         with self.assertLogs("absl", "ERROR") as logs:
-            self.tasks.keep("watch", act).get(timeout=10)
+            self.tasks.start_restarting("watch", act).get(timeout=10)
         pause = tasks.RESTART_SECONDS
         self.assertEqual([0, pause, 2 * pause], starts)
         self.assertEqual(["watch", "watch"], self.deaths)
@@ -66,7 +66,7 @@
             "from citronport import clock, tasks\n"
             "ticker = clock.RuntimeClock()\n"
             "supervisor = tasks.Supervisor(ticker, lambda name: None)\n"
-            "supervisor.require('executor', int, 'x')\n"
+            "supervisor.start_required('executor', int, 'x')\n"
             "gevent.sleep(30)\n"
         )
         done = subprocess.run(
