--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -9,7 +9,7 @@
 
 import testtools  # noqa: E402
 
-from tests import reds  # noqa: E402
+from tests import known_failures  # noqa: E402
 
 
 def select_tests(suite: unittest.TestSuite, words: list[str]) -> list:
@@ -28,11 +28,11 @@
     outcome = runner.run(unittest.TestSuite(tests))
     broken = [test.id() for test, _ in outcome.failures + outcome.errors]
     broken += [test.id() for test in outcome.unexpectedSuccesses]
-    listed = reds.read_names()
-    for name in sorted(listed & {test.id() for test in tests}):
+    known_names = known_failures.read_names()
+    for name in sorted(known_names & {test.id() for test in tests}):
         seen = "failed" if name in broken else "passed"
         print(f"known red, {seen}: {name}")
-    known = sum(name in listed for name in broken)
+    known = sum(name in known_names for name in broken)
     failed = len(broken) - known
     print(f"{outcome.testsRun - len(broken)} passed, {failed} failed")
     return 1 if failed or outcome.testsRun == known else 0
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -83,13 +83,13 @@
         """
         running = processes.Processes(self.folder)
         self.addCleanup(running.__exit__)
-        stand = fleet.Fleet(LAYOUT, running)
-        stand.start()
+        started = fleet.Fleet(LAYOUT, running)
+        started.start()
         running.signal("entry-1", 15)
         self.assertEqual(0, running.wait("entry-1", 20))
 
         process = self.start("serve", str(self.folder / "entry-1.yaml"))
-        address = stand.get_callers_addresses()[0]
+        address = started.get_callers_addresses()[0]
         processes.wait_for_port(*address.split(":"), seconds=60)
         body = caller.make_chat("small", "what is due?", 5)
         outcome = caller.send_patiently(
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -26,7 +26,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
-        self.dice = random.Random(1)
+        self.rng = random.Random(1)
 
     def count(self, records, lines):
         """Write a journal and return the figures."""
@@ -39,7 +39,7 @@
 
     def make_record(self, kind, **fields):
         """Return a record of one attempt."""
-        job = demo_loads.make_job(kind, 1, self.dice)
+        job = demo_loads.make_job(kind, 1, self.rng)
         outcome = caller.Outcome(**{"status": 200, **fields})
         return demo_figures.Record(job=job, attempts=[outcome], seconds=1.0)
 
--- a/tests/test_reds.py
+++ b/tests/test_known_failures.py
@@ -5,10 +5,10 @@
 
 import testtools
 
-from tests import reds
+from tests import known_failures
 
 
-class RedsTest(testtools.TestCase):
+class KnownFailuresTest(testtools.TestCase):
     """The list of known failures."""
 
     def setUp(self):
@@ -20,7 +20,7 @@
 
     def test_no_list_passes_over_nothing(self):
         """Every failure counts."""
-        self.assertEqual(set(), reds.read_names(self.path))
+        self.assertEqual(set(), known_failures.read_names(self.path))
 
     def test_whole_names_only(self):
         """A part of a name, or a line without a story, lists no test."""
@@ -30,5 +30,6 @@
             "tests.test_a.ATest.test_two\n"
         )
         self.assertEqual(
-            {"tests.test_a.ATest.test_one"}, reds.read_names(self.path)
+            {"tests.test_a.ATest.test_one"},
+            known_failures.read_names(self.path),
         )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -13,12 +13,12 @@
 
 from standins import processes
 
-AT_ONCE = 3
+CONCURRENT_SCENARIOS = 3
 """Scenarios that run side by side, each with its own addresses."""
 
 SEED = 1
 
-SUBNETS = 100 + 10 * (os.getpid() % 12)
+SUBNET_NUMBER = 100 + 10 * (os.getpid() % 12)
 """Second number of the addresses; two checkouts may run at one time."""
 
 NAMES = (
@@ -55,7 +55,7 @@
                 "scenario",
                 f"scenarios/{name}.yaml",
                 f"--seed={SEED}",
-                f"--subnet={SUBNETS}.{number + 1}",
+                f"--subnet={SUBNET_NUMBER}.{number + 1}",
             ],
             cwd=processes.ROOT,
             capture_output=True,
@@ -68,6 +68,8 @@
 
     def test_scenarios(self):
         """Each scenario of the fixed subset ends without a problem."""
-        codes = pool.Pool(AT_ONCE).map(self.run_scenario, range(len(NAMES)))
+        codes = pool.Pool(CONCURRENT_SCENARIOS).map(
+            self.run_scenario, range(len(NAMES))
+        )
         failed = [n for n, code in zip(NAMES, codes, strict=True) if code != 0]
         self.assertEqual([], failed)
