--- a/citronport/core.py
+++ b/citronport/core.py
@@ -27,7 +27,7 @@
 from citronport.catalogue import client as catalogue_client
 from citronport.catalogue import const as catalogue_const
 from citronport.catalogue import store
-from citronport.endpoints import monitors
+from citronport.endpoints import watch
 from citronport.instances import const as instance_const
 from citronport.instances import gossip
 from citronport.instances import messages
@@ -79,7 +79,7 @@
         self.telemetry = telemetry.Telemetry(ticker, self._tracer)
         self.tasks = tasks.Supervisor(ticker, self.telemetry.counts.note_death)
         self.peers = self._make_peers()
-        self.watches = monitors.EndpointMonitors(
+        self.watches = watch.EndpointMonitors(
             ticker, self._take_endpoint_event
         )
         self.executor = executor.Executor(
--- a/tests/endpoints/test_monitors.py
+++ b/tests/endpoints/test_watch.py
@@ -8,7 +8,7 @@
 import testtools
 
 from citronport import clock
-from citronport.endpoints import monitors
+from citronport.endpoints import watch
 from citronport.scheduler import models
 
 ADDRESS = "127.72.0.2"
@@ -27,7 +27,7 @@
         listening.start()
         self.addCleanup(listening.stop, 1)
         self.events = queue.Queue()
-        self.monitors = monitors.EndpointMonitors(
+        self.monitors = watch.EndpointMonitors(
             clock.RuntimeClock(), self.events.put
         )
         address = f"{ADDRESS}:{listening.server_port}"
