--- a/citronport/endpoints/__init__.py
+++ b/citronport/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The peer `endpoint`: engines and plain services."""
+"""Communication with endpoints: inference engines and plain services."""
--- a/citronport/endpoints/client.py
+++ b/citronport/endpoints/client.py
@@ -1,4 +1,4 @@
-"""Sends requests to endpoints and reads their answers."""
+"""Sends requests to endpoints and reads their responses."""
 
 import collections.abc
 import dataclasses
@@ -24,15 +24,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Call:
-    """The bytes of one request to an endpoint.
+    """One HTTP request to an endpoint.
 
     Attributes:
-        request_id: unique in the fleet.
+        request_id: unique within the fleet.
         method: HTTP method.
-        path: path at the endpoint.
-        body: the body, as it is sent.
-        headers: further headers.
-        stream: whether the answer is a stream of events.
+        path: request path at the endpoint.
+        body: request body, sent unchanged.
+        headers: additional request headers.
+        stream: whether the response is an event stream.
         timeout: seconds until the deadline.
     """
 
@@ -47,13 +47,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AnswerSummary:
-    """What a whole answer came to.
+    """Size and token usage of a complete response.
 
     Attributes:
-        size: bytes.
-        output_tokens: length of the answer, 0 if the endpoint does not
-            tell.
-        cached_tokens: prompt tokens that the endpoint had in its cache.
+        size: size of the body in bytes.
+        output_tokens: number of generated tokens, 0 if the endpoint does
+            not report it.
+        cached_tokens: prompt tokens that the endpoint served from its cache.
     """
 
     size: int
@@ -63,29 +63,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Failure:
-    """Why a dispatch gave no whole answer."""
+    """Reason why a call produced no complete response.
+
+    Attributes:
+        sent: whether any byte of the request may have been sent.
+        code: refusal code for the caller.
+    """
 
     sent: bool
     code: errors.Code
 
 
-# The code is for a call that has no time left to be decided again; one
-# that says "outcome unknown" would be wrong for what was never sent.
+# The code applies if there is no time left to schedule the call again. It
+# must not say "outcome unknown", since nothing was sent.
 _NOT_SENT = result.Err(
     Failure(sent=False, code=errors.Code.DEADLINE_PASSED_WAITING)
 )
 
 
 class _WrongStreamError(Exception):
-    """The endpoint offers another stream than the one that was cut."""
+    """The endpoint resumed a different stream than the interrupted one."""
 
 
 class _EndpointFaultError(Exception):
-    """The endpoint answered with an error."""
+    """The endpoint responded with a server error."""
 
 
 class Client:
-    """Sends calls on kept connections, each call once."""
+    """Sends calls over pooled connections, each call at most once."""
 
     def __init__(self) -> None:
         self._pool = pool.Pool()
@@ -98,36 +103,37 @@
         may_send: collections.abc.Callable[[], bool],
         deliver: collections.abc.Callable[[messages.Message], None],
     ) -> result.Result[AnswerSummary, Failure]:
-        """Send a call once and deliver its answer piece by piece.
+        """Send a call once and deliver its response in chunks.
 
         Args:
             address: "ip:port" of the endpoint.
-            start: the endpoint's start that the call was decided for.
-            call: what to send.
-            may_send: asked after the last wait before the first byte is
-                sent.
-            deliver: takes each piece of the answer.
+            start: number of the endpoint's process start that the call was
+                scheduled for.
+            call: the request to send.
+            may_send: checked immediately before the first byte is sent,
+                after everything that may block.
+            deliver: receives each part of the response.
 
         Returns:
-            What the answer came to, or the failure. ``sent`` is False
-            only if not one byte of the request has left.
+            A summary of the response, or the failure. ``sent`` is False
+            only if no byte of the request was sent.
         """
         end = time.monotonic() + call.timeout
         with gevent.Timeout(call.timeout, TimeoutError("deadline")):
             try:
                 request = _make_request(address, call)
-                # Connecting can wait for long; nothing has been sent.
+                # Connecting may block for long; nothing has been sent yet.
                 opened = self._pool.acquire(address, start)
             except (*_CONNECTION_ERRORS, ValueError):
                 return _NOT_SENT
             try:
-                # A process that was stopped and woken acts on an old
-                # view: it would send a request whose caller was already
-                # told "not run", or one that was decided for a warm start
-                # of an endpoint that is cold again. The check sits
-                # between the last wait and the send, so that no pause
-                # before it can pass unnoticed, and the connection belongs
-                # to one start for ever.
+                # A process that was suspended and resumed acts on stale
+                # state: it could send a request whose caller was already
+                # told "not run", or one that was scheduled for a warm
+                # endpoint that has restarted cold. Nothing between this
+                # check and the send can block, so any earlier suspension
+                # is noticed, and a connection always belongs to one start
+                # of the endpoint's process.
                 if not may_send():
                     return _NOT_SENT
                 opened.send(request, call.method)
@@ -147,8 +153,9 @@
 ) -> result.Err[Failure]:
     if time.monotonic() < end:
         return _make_failure(errors.Code.ENDPOINT_LOST)
-    # Without the order the engine would go on for an answer that nobody
-    # gets. A plain service knows no orders: it would run one as a call.
+    # Without a cancel request the engine would go on generating a response
+    # that nobody reads. A plain service has no cancel path: it would
+    # process the request as a call.
     if call.path == const.PATH_CHAT:
         gevent.spawn(cancel, address, call.request_id)
     return _make_failure(errors.Code.DEADLINE_PASSED_RUNNING)
@@ -175,7 +182,7 @@
 
 
 class _AnswerReader:
-    """Reads one answer, over one connection or several."""
+    """Reads one response, over one or several connections."""
 
     def __init__(
         self,
@@ -190,7 +197,7 @@
         self._status = 0
 
     def read_head(self, opened: endpoint_connection.Connection) -> None:
-        """Read the head of the answer."""
+        """Read status and headers of the response."""
         answer = opened.read_head()
         if answer.status_code >= 500:
             raise _EndpointFaultError
@@ -205,7 +212,7 @@
         )
 
     def read_body(self, opened: endpoint_connection.Connection) -> None:
-        """Read pieces to the end of the body."""
+        """Read and deliver the body up to its end."""
         pause = 0.0
         while data := opened.read():
             self._deliver(messages.Chunk(offset=self.size, data=data))
@@ -213,27 +220,27 @@
             self._tail = (self._tail + data)[-const.TAIL_BYTES :]
             if opened.is_complete():
                 return
-            # Load: streams of hundreds of tokens, each of which would
-            # cost a turn of the loop and a system call on each side.
-            # What comes during the pause is read at once after it. The
-            # pause grows with the stream: a short answer must not wait
-            # for tokens that it does not have.
+            # Coalesce tokens: a stream has hundreds of them, and each one
+            # read alone costs an event loop iteration and a system call on
+            # each side. Data that arrives during the pause is read in one
+            # call after it. The pause grows with the stream so that short
+            # responses are not delayed.
             pause = min(
                 pause + const.COALESCE_STEP_SECONDS, const.MAX_COALESCE_SECONDS
             )
             gevent.sleep(pause)
 
     def check_complete(self) -> AnswerSummary:
-        """Check that the answer is whole.
+        """Check that the response is complete and return its summary.
 
         Raises:
-            ConnectionResetError: it is not.
+            ConnectionResetError: the stream ended without its final event.
         """
-        # A cut connection can look like a clean end of the body: a stream
-        # is whole only with its closing event.
+        # A broken connection can look like a regular end of the body: a
+        # stream is complete only if it ends with the final event.
         ended = self._tail.rstrip().endswith(const.STREAM_END)
         if self.call.stream and self._status == 200 and not ended:
-            raise ConnectionResetError("closed within the stream")
+            raise ConnectionResetError("stream ended without its final event")
         return AnswerSummary(
             size=self.size,
             output_tokens=_find_number(_OUTPUT_TOKENS, self._tail),
@@ -242,10 +249,10 @@
 
 
 def _resume_stream(address: str, reader: _AnswerReader, end: float) -> None:
-    """Read the rest of a cut stream, from where it was cut.
+    """Read the rest of an interrupted stream from the current offset.
 
-    Nothing is run again: the engine goes on with the stream that it has,
-    or says that it has none.
+    The request is not run again: the engine continues the stream that it
+    has kept, or reports that it has none.
     """
     until = min(end, time.monotonic() + const.RESUME_TIMEOUT_SECONDS)
     while True:
@@ -265,8 +272,8 @@
     try:
         opened.send(endpoint_connection.encode_request(address, "GET", path))
         answer = opened.read_head()
-        # An answer of another request, or one that starts elsewhere,
-        # would give the caller a stream with a seam in it.
+        # The response of another request or a different offset would
+        # corrupt the stream that the caller receives.
         if (
             answer.status_code != 200
             or answer.get(common.HEADER_REQUEST_ID) != request_id
@@ -279,7 +286,7 @@
 
 
 def cancel(address: str, request_id: str) -> None:
-    """Have an endpoint stop a request; return when it says it has."""
+    """Ask an endpoint to stop a request and wait for its confirmation."""
     path = f"{const.PATH_CANCEL}?id={request_id}"
     try:
         opened = endpoint_connection.connect(address)
@@ -292,7 +299,7 @@
         ):
             opened.read_head()
     except _CONNECTION_ERRORS:
-        # The closed connection of the call stops it as well, only later.
+        # Closing the connection of the call also stops it, only later.
         return
     finally:
         opened.close()
@@ -300,7 +307,7 @@
 
 def _make_request(address: str, call: Call) -> bytes:
     headers = {common.HEADER_REQUEST_ID: call.request_id, **call.headers}
-    # The path has been unquoted on its way in; a line end in it would
+    # The path may contain unquoted characters; a line break in it would
     # smuggle a second request to the endpoint.
     path = parse.quote(call.path, safe="/:@!$&'()*+,;=~", encoding="latin-1")
     return endpoint_connection.encode_request(
--- a/citronport/endpoints/connection.py
+++ b/citronport/endpoints/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to an endpoint, read piece by piece."""
+"""HTTP/1.1 connection to an endpoint with incremental reads."""
 
 import select
 import time
@@ -11,31 +11,31 @@
 
 from citronport.endpoints import const
 
-# A poll with no timeout never waits, so that the cooperative one, which
-# goes through the event loop, would only cost time.
+# A poll with timeout 0 never blocks, so the original is used: the gevent
+# version would only add the cost of going through the event loop.
 _make_poll = monkey.get_original("select", "poll")
 
 
 class _UnsolicitedAnswerError(Exception):
-    """Another answer begins where none is awaited."""
+    """A further response begins after a complete one."""
 
 
 class Answer(http_response.HTTPResponse):
-    """The library's parser, fed by the owner of the socket.
+    """The library's response parser, fed by the owner of the socket.
 
-    The library's own reader waits until as many bytes came as were asked
-    for, which turns a stream into one late answer.
+    The library's own reader blocks until it has the requested number of
+    bytes, which would deliver a stream only at its end.
 
     Attributes:
-        status: HTTP status, once the head is complete.
+        status: HTTP status, 0 until the headers are complete.
     """
 
     status = 0
 
     def feed(self, data: str | bytes) -> None:
-        """Parse what came; what follows a whole answer is dropped."""
-        # A faulty endpoint may send a second answer unasked. The parser
-        # would start over and join its body to that of the first.
+        """Parse received data; drop what follows a complete response."""
+        # A faulty endpoint may send a second, unsolicited response. The
+        # parser would start over and append its body to the first one.
         if self.message_complete and self._is_final():
             self._trailing_data_dropped = True
             return
@@ -57,24 +57,23 @@
         return self.headers_complete and self.status >= 200
 
     def take_body(self) -> bytes:
-        """Return the part of the body that came since the last call."""
+        """Return the part of the body received since the last call."""
         data = bytes(self._body_buffer)
         self._body_buffer.clear()
         return data
 
 
 class Connection:
-    """A connection that sends what it is told, once.
+    """A connection that never sends a request twice.
 
-    The library's client sends again by itself when a kept connection
-    turns out to be stale, which would run a request twice; here a send
-    that fails has failed. Nothing here ends by itself: the caller sets one
-    timeout around all its steps, since one for each read costs more than
-    the read.
+    The library's client retries by itself if a pooled connection turns out
+    to be closed, which could run a request twice; here a failed send is an
+    error. The methods have no timeouts: the caller sets a single one around
+    all steps, since a timeout for each read costs more than the read.
 
     Args:
         sock: a connected socket.
-        start: which start of the endpoint it was opened to.
+        start: number of the endpoint's process start that it belongs to.
     """
 
     def __init__(self, sock: socket.socket, start: int) -> None:
@@ -84,22 +83,26 @@
         self.idle_since = time.monotonic()
 
     def send(self, request: bytes, method: str = "GET") -> None:
-        """Send one request; an answer to HEAD has no body.
+        """Send one request.
+
+        Args:
+            request: the encoded request.
+            method: its HTTP method; a response to HEAD has no body.
 
         Raises:
-            OSError: the connection broke; the request may have arrived.
+            OSError: the connection failed; the request may have arrived.
         """
         self._answer = Answer(method)
         self._sock.sendall(request)
 
     def send_until_answered(self, request: bytes) -> None:
-        """Send a long request, but stop as soon as an answer comes.
+        """Send a large request, but stop as soon as a response arrives.
 
-        An endpoint may refuse a request before it has read the body, and
-        read no further: a plain send would wait for ever.
+        An endpoint may reject a request before it has read the body and
+        then stop reading: a plain send would block forever.
 
         Raises:
-            OSError: the connection broke and no answer is there.
+            OSError: the connection failed and no response has arrived.
         """
         self._answer = Answer()
         left = memoryview(request)
@@ -110,46 +113,51 @@
             left = left[self._sock.send(left[: const.READ_BYTES]) :]
 
     def has_input(self) -> bool:
-        """Return whether bytes came that were not read yet."""
+        """Return whether unread data has been received."""
         return bool(_poll(self._sock, select.POLLIN))
 
     def read_head(self) -> Answer:
-        """Wait for the head of the answer.
+        """Wait for status and headers of the response.
 
         Raises:
-            OSError: the connection broke.
-            geventhttpclient.response.HTTPParseError: not HTTP.
+            OSError: the connection failed.
+            geventhttpclient.response.HTTPParseError: not valid HTTP.
         """
         answer = self._answer
         while not answer.headers_complete or answer.status_code < 200:
             if not self._receive():
-                raise ConnectionResetError("closed before the answer")
+                raise ConnectionResetError(
+                    "connection closed before the response headers"
+                )
         return answer
 
     def read(self) -> bytes:
-        """Wait for the next piece of the body.
+        """Wait for the next part of the body.
 
         Returns:
-            What came, or nothing at the end of the body.
+            The received data, empty at the end of the body.
 
         Raises:
-            OSError: the connection broke.
-            geventhttpclient.response.HTTPParseError: not HTTP.
+            OSError: the connection failed.
+            geventhttpclient.response.HTTPParseError: not valid HTTP.
         """
         answer = self._answer
         while not (data := answer.take_body()) and not answer.message_complete:
             if not self._receive():
-                # A body without a length ends with the connection; any
-                # other one that ends here was cut.
+                # Only a body without a length may end with the connection;
+                # any other one is truncated.
                 if "content-length" in answer or _is_chunked(answer):
-                    raise ConnectionResetError("closed within the answer")
+                    raise ConnectionResetError(
+                        "connection closed within the response body"
+                    )
                 return b""
         return data
 
     def wait_until_closed(self, seconds: float) -> bool:
-        """Return True as soon as the endpoint closes, False after a time.
+        """Return True once the endpoint closes, False after a timeout.
 
-        Only between two answers: whatever comes then is an end.
+        Only valid between two responses, when any readable event means the
+        end of the connection.
         """
         try:
             socket.wait_read(self._sock.fileno(), timeout=seconds)
@@ -158,24 +166,24 @@
         return True
 
     def is_open(self) -> bool:
-        """Return whether the endpoint has not closed its side yet."""
+        """Return whether the endpoint has not closed its side."""
         return not _poll(self._sock, select.POLLRDHUP)
 
     def is_idle(self) -> bool:
-        """Return whether it is open and nothing came unasked."""
+        """Return whether it is open and has no unsolicited input."""
         return not _poll(self._sock, select.POLLRDHUP | select.POLLIN)
 
     def is_complete(self) -> bool:
-        """Return whether the body came to its end."""
+        """Return whether the body has been received completely."""
         return self._answer.message_complete
 
     def is_reusable(self) -> bool:
-        """Return whether another request may be sent on it."""
+        """Return whether another request may be sent over it."""
         answer = self._answer
         return answer.message_complete and not answer.should_close()
 
     def close(self) -> None:
-        """Close it; the endpoint sees that nobody waits for an answer."""
+        """Close it; an endpoint takes this as a cancelled request."""
         self._sock.close()
 
     def _receive(self) -> bool:
@@ -189,7 +197,12 @@
     start: int = 0,
     timeout: float = const.CONNECT_TIMEOUT_SECONDS,
 ) -> Connection:
-    """Open a connection within so many seconds.
+    """Open a connection to an endpoint.
+
+    Args:
+        address: "ip:port" of the endpoint.
+        start: number of the endpoint's process start.
+        timeout: seconds.
 
     Raises:
         OSError: the endpoint cannot be reached.
@@ -197,8 +210,8 @@
     host, port = address.rsplit(":", 1)
     sock = socket.create_connection((host, int(port)), timeout=timeout)
     sock.settimeout(None)
-    # A small write would else wait for the acknowledgement of the one
-    # before it, which the other side may hold back for 40 ms.
+    # Otherwise a small write waits for the acknowledgement of the previous
+    # one, which the peer may delay by 40 ms.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return Connection(sock, start)
 
@@ -220,10 +233,11 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Return the bytes of a request.
+    """Return the encoded request.
 
     Raises:
-        ValueError: a part of it could smuggle a second request.
+        ValueError: the request contains characters that would allow request
+            smuggling.
     """
     fields = {"Host": address, **(headers or {})}
     head = _HEAD_BUILDER._build_request(method, path, body, fields)
@@ -231,4 +245,4 @@
 
 
 _HEAD_BUILDER = geventhttpclient.HTTPClient("endpoint")
-"""Only builds heads, checked against smuggling; it never connects."""
+"""Builds request heads and rejects smuggled ones; it never connects."""
--- a/citronport/endpoints/const.py
+++ b/citronport/endpoints/const.py
@@ -1,4 +1,4 @@
-"""Constants of the endpoints' published protocol."""
+"""Constants of the protocol that endpoints publish."""
 
 from typing import Final
 
@@ -8,45 +8,46 @@
 PATH_RESUME: Final = "/resume"
 
 HEADER_RESUMABLE: Final = "X-Resumable"
-"""An endpoint that sets it keeps a stream that was cut for a while."""
+"""Set by endpoints that keep an interrupted stream for a while."""
 
 HEADER_OFFSET: Final = "X-Offset"
-"""Where a resumed stream starts, bytes from the start of the answer."""
+"""Byte offset in the response at which a resumed stream starts."""
 
 CONNECT_TIMEOUT_SECONDS: Final = 2.0
 REPORT_INTERVAL_SECONDS: Final = 0.5
-"""Pause between two load reports of one endpoint."""
+"""Interval between two load reports of one endpoint."""
 
 RECONNECT_DELAY_SECONDS: Final = 0.25
-"""Pause before an endpoint that cannot be reached is dialled again."""
+"""Delay before another attempt to connect to an unreachable endpoint."""
 
 RESUME_TIMEOUT_SECONDS: Final = 2.0
-"""How long a cut stream is asked for again; engines keep it for longer."""
+"""How long resuming a stream is retried; engines keep it for longer."""
 
 RESUME_RETRY_DELAY_SECONDS: Final = 0.1
 
 MAX_IDLE_SECONDS: Final = 2.0
-"""How long an unused connection is kept.
+"""How long an idle connection is kept.
 
-Usual servers close one after 5 s or more. A request that is sent while the
-other side closes has an unknown outcome, and it is never sent again.
+Common servers close idle connections after 5 s or more. A request that is
+sent while the server closes the connection has an unknown outcome and is
+never sent again.
 """
 
 MAX_IDLE_CONNECTIONS: Final = 64
-"""Unused connections kept to one endpoint; more are closed at once."""
+"""Idle connections kept per endpoint; further ones are closed at once."""
 
 MAX_COALESCE_SECONDS: Final = 0.03
-"""Longest time a token waits for others before it is read.
+"""Upper bound of the time that a token waits to be coalesced with others.
 
-Well under the 53 ms that callers may wait between two tokens; more saves
-little (docs/design/relay.md has the figures).
+Well under the 53 ms that callers may wait between two tokens; a longer wait
+saves little (see docs/design/relay.md for measurements).
 """
 
 COALESCE_STEP_SECONDS: Final = 0.002
-"""How much the wait grows with each piece of a stream, seconds."""
+"""By how much the wait grows with each read of a stream."""
 
 READ_BYTES: Final = 65536
 STREAM_END: Final = b"data: [DONE]"
 
 TAIL_BYTES: Final = 1024
-"""End of an answer that is kept to check it and to read its usage."""
+"""Length of the response's end that is checked and holds its usage data."""
--- a/citronport/endpoints/messages.py
+++ b/citronport/endpoints/messages.py
@@ -1,4 +1,4 @@
-"""What a dispatch task sends to the task that answers the caller."""
+"""Messages from a dispatch task to the task that responds to the caller."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Started:
-    """The endpoint's answer began."""
+    """The endpoint's response began."""
 
     status: int
     content_type: str
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Chunk:
-    """A piece of the answer.
+    """A part of the response body.
 
     Attributes:
-        offset: bytes of the answer before this piece.
-        data: the piece.
+        offset: position in the body, in bytes.
+        data: content of the part.
     """
 
     offset: int
@@ -28,15 +28,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Interrupted:
-    """The connection broke; the rest may still come over another one."""
+    """The connection failed; the rest may follow over another one."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finished:
-    """The answer is whole.
+    """The response is complete.
 
     Attributes:
-        size: bytes of the answer.
+        size: size of the body in bytes.
     """
 
     size: int
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """There will be no answer, or no more of it."""
+    """There is no response, or no more of it."""
 
     refusal: errors.Refusal
 
--- a/citronport/endpoints/pool.py
+++ b/citronport/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""Keeps connections to endpoints between two requests."""
+"""Pool of idle connections to endpoints."""
 
 import time
 
@@ -7,11 +7,12 @@
 
 
 class Pool:
-    """Unused connections, by address; the newest is used first.
+    """Idle connections by address, reused newest first.
 
-    A kept connection saves about a third of the cost of a short request.
-    It belongs to one start of its endpoint: a process that starts again
-    has none of the old connections, so that nothing reaches it on one.
+    Reusing a connection saves about a third of the cost of a short request.
+    Each connection belongs to one start of the endpoint's process: a
+    restarted process has none of the old connections, so no request can
+    reach it over one of them.
     """
 
     def __init__(self) -> None:
@@ -19,7 +20,7 @@
         self._next_sweep = 0.0
 
     def acquire(self, address: str, start: int) -> connection.Connection:
-        """Return a connection to one start of an endpoint.
+        """Return a connection to one process start of an endpoint.
 
         Raises:
             OSError: the endpoint cannot be reached.
@@ -35,7 +36,7 @@
         return connection.connect(address, start)
 
     def release(self, address: str, used: connection.Connection) -> None:
-        """Keep a connection whose answer came whole, close any other."""
+        """Keep a reusable connection; close any other."""
         idle = self._idle.setdefault(address, [])
         now = time.monotonic()
         if used.is_reusable() and len(idle) < const.MAX_IDLE_CONNECTIONS:
--- a/citronport/endpoints/watch.py
+++ b/citronport/endpoints/watch.py
@@ -1,8 +1,9 @@
-"""Watches endpoints: one task and one long-lived connection for each.
+"""Monitors endpoints with one task and one long-lived connection each.
 
-Only the owner of an endpoint watches it. The connection carries the load
-reports, and it is the evidence of the endpoint's start: a process that
-ends closes it, which is seen at once and not at the next report.
+Only the instance that owns an endpoint monitors it. The connection carries
+the load reports and identifies the start of the endpoint's process: a
+process that ends closes it, which is noticed at once instead of at the next
+report.
 """
 
 import collections.abc
@@ -22,14 +23,14 @@
 
 
 class EndpointMonitor:
-    """Watches one endpoint.
+    """Monitors one endpoint.
 
     Args:
         endpoint: its name.
         address: "ip:port".
         ticker: the clock.
-        post: takes the events.
-        allocate_start: gives each start that is seen its number.
+        post: receives the events.
+        allocate_start: returns a number for each observed process start.
     """
 
     def __init__(
@@ -51,16 +52,16 @@
         self._last_cache_event = 0
 
     def is_current(self, start: int) -> bool:
-        """Return whether a start of the endpoint still runs.
+        """Return whether a process start of the endpoint still runs.
 
-        Asks the socket, so that an end is seen also when the task that
-        watches has not had its turn.
+        Checks the socket itself, so that an end is noticed even if the
+        monitoring task has not been scheduled since.
         """
         opened = self._connection
         return opened is not None and start == self._start and opened.is_open()
 
     def run(self) -> None:
-        """Watch until killed."""
+        """Monitor the endpoint until killed."""
         try:
             while True:
                 self._poll_reports()
@@ -84,7 +85,10 @@
                     return
         except (OSError, http_response.HTTPParseError, ValueError) as error:
             logging.info(
-                "%s %s: %s.", LOG, self._endpoint, type(error).__name__
+                "%s no load report from %s: %s.",
+                LOG,
+                self._endpoint,
+                type(error).__name__,
             )
         finally:
             self._disconnect()
@@ -98,16 +102,16 @@
             parts.append(data)
         raw = json.loads(b"".join(parts))
         if answer.status_code != 200 or not isinstance(raw, dict):
-            raise ValueError("no load report")
+            raise ValueError("response is not a load report")
         return raw
 
     def _handle_report(self, raw: dict[str, Any], requested_at: float) -> None:
         reported = str(raw.get("start", ""))
         if self._start and reported != self._reported_start:
-            # Another process answers behind the same connection, as
-            # behind a relay: a start all the same.
+            # Another process responds over the same connection, for
+            # example behind a proxy: it counts as a new start.
             self._disconnect()
-            raise ConnectionResetError("another start")
+            raise ConnectionResetError("endpoint process has changed")
         if not self._start:
             self._reported_start = reported
             self._start = self._allocate_start()
@@ -116,8 +120,8 @@
                     endpoint=self._endpoint, start=self._start
                 )
             )
-        # The answer may have lain in a buffer while this process was
-        # stopped: it is as old as the question.
+        # The response may have been buffered while this process was
+        # suspended, so its age is counted from the request.
         report = parse_report(raw, self._ticker.now() - requested_at)
         self._post(
             models.EndpointReported(endpoint=self._endpoint, report=report)
@@ -152,7 +156,7 @@
 
 
 class EndpointMonitors:
-    """The watches of the endpoints that this instance owns."""
+    """Monitors of the endpoints that this instance owns."""
 
     def __init__(
         self,
@@ -165,7 +169,7 @@
         self._monitors: dict[str, tuple[EndpointMonitor, gevent.Greenlet]] = {}
 
     def assign(self, endpoints: dict[str, str]) -> None:
-        """Watch these endpoints, by name and "ip:port", and no others."""
+        """Monitor exactly these endpoints, given as "ip:port" by name."""
         for name, (monitor, task) in list(self._monitors.items()):
             if endpoints.get(name) != monitor.address:
                 del self._monitors[name]
@@ -182,7 +186,7 @@
                 self._monitors[name] = (monitor, gevent.spawn(monitor.run))
 
     def is_current(self, endpoint: str, start: int) -> bool:
-        """Return whether a start of an endpoint still runs."""
+        """Return whether a process start of an endpoint still runs."""
         known = self._monitors.get(endpoint)
         return known is not None and known[0].is_current(start)
 
@@ -192,11 +196,11 @@
 
 
 def parse_report(raw: dict[str, Any], elapsed: float) -> models.LoadReport:
-    """Return a load report as the decisions see it.
+    """Return a load report in the form that the scheduler uses.
 
     Args:
         raw: the report.
-        elapsed: seconds since it was asked for.
+        elapsed: seconds since it was requested.
     """
     return models.LoadReport(
         running=int(raw.get("running", 0)),
--- a/tests/endpoints/__init__.py
+++ b/tests/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the peer `endpoint`."""
+"""Tests of citronport.endpoints."""
--- a/tests/endpoints/test_client.py
+++ b/tests/endpoints/test_client.py
@@ -1,4 +1,4 @@
-"""How calls reach endpoints: once, piece by piece, resumed, cancelled."""
+"""Tests of the endpoint client: single sends, streams, resume, cancel."""
 
 import json
 
@@ -24,34 +24,34 @@
 
 
 class MemoryJournal:
-    """A journal in memory."""
+    """An in-memory journal for the stand-in engine."""
 
     def __init__(self):
         self.kinds = []
 
     def add(self, kind, **_):
-        """Keep the kind of a line."""
+        """Record the kind of a line."""
         self.kinds.append(kind)
 
 
 class ClientTest(testtools.TestCase):
-    """Calls of one client to an endpoint on a socket of this process."""
+    """Calls of a client to an endpoint that runs in this process."""
 
     def setUp(self):
-        """Make a client."""
+        """Create the client."""
         super().setUp()
         self.client = client.Client()
         self.pieces = []
 
     def serve(self, handle):
-        """Serve connections with a function; return the address."""
+        """Serve connections with a handler; return the address."""
         listening = server.StreamServer((ADDRESS, 0), handle)
         listening.start()
         self.addCleanup(listening.stop, 1)
         return f"{ADDRESS}:{listening.server_port}"
 
     def serve_engine(self, **shape):
-        """Serve the stand-in engine; return it and its address."""
+        """Start a stand-in engine; return it and its address."""
         self.journal = MemoryJournal()
         fast = {"name": "engine", "cold_seconds": 0.0, "decode_rate": 500.0}
         made = engine.Engine(engine.Shape(**fast, **shape), self.journal)
@@ -82,7 +82,7 @@
         )
 
     def join_answer(self):
-        """Return the answer's bytes; check that it has no seam."""
+        """Return the response body; check that its offsets are gapless."""
         joined = b""
         for piece in self.pieces:
             if isinstance(piece, messages.Chunk):
@@ -91,7 +91,10 @@
         return joined
 
     def test_first_piece_comes_before_the_end(self):
-        """The endpoint ends its stream only when the first piece is here."""
+        """The endpoint ends its stream only after the first delivery.
+
+        Guards against a reader that delivers a stream only at its end.
+        """
         came = event.Event()
 
         def handle(sock, _):
@@ -109,11 +112,11 @@
         self.assertEqual(b"data: data: [DONE]\n\n", self.join_answer())
 
     def test_interrupted_stream_is_resumed(self):
-        """The caller sees one whole answer; the engine ran it once.
+        """The caller gets a complete response and the engine runs it once.
 
-        The connection to the engine breaks in the middle of the stream.
-        The client asks for the rest by the bytes it has, on a new
-        connection; the engine goes on with the stream that it kept.
+        The connection to the engine breaks twice within the stream. The
+        client requests the rest from its byte offset over a new connection;
+        the engine continues the stream that it has kept.
         """
         made, address = self.serve_engine()
         body = caller.make_chat("small", "how warm?", 40)
@@ -137,10 +140,10 @@
         self.assertEqual(1, self.journal.kinds.count("received"))
 
     def test_resume_with_other_request_is_refused(self):
-        """The rest that is offered belongs to another request.
+        """The resumed stream belongs to another request.
 
-        The caller gets what came before the cut and then a refusal that
-        says "outcome unknown", never a byte of the other answer.
+        The caller gets the data from before the interruption and then an
+        "outcome unknown" refusal, but no byte of the other response.
         """
 
         def handle(sock, _):
@@ -158,10 +161,10 @@
         self.assertEqual(b"data: ", self.join_answer())
 
     def test_call_is_never_sent_again(self):
-        """A kept connection ends as soon as the second call is sent.
+        """A reused connection closes as soon as the second call is sent.
 
-        The library's own client would send a PUT again, and a plain
-        service would run it twice. Here the outcome is unknown.
+        The library's own client would retry a PUT, and a plain service
+        would run it twice. Here the outcome is unknown.
         """
         arrived = []
 
@@ -178,7 +181,7 @@
         self.assertEqual(2, len(arrived))
 
     def test_call_is_not_sent_when_check_fails(self):
-        """Not one byte leaves when the check says no after connecting."""
+        """No byte is sent if the check after connecting fails."""
         arrived = []
         address = self.serve(lambda sock, _: arrived.append(sock.recv(9)))
         self.client.run_call(
@@ -201,7 +204,7 @@
         self.assertNotIn(b"POST", b"".join(arrived))
 
     def test_call_ends_at_its_deadline_and_stops_the_engine(self):
-        """The answer would take 10 s; the caller waits for 0.2 s."""
+        """The response would take 10 s; the caller's deadline is 0.2 s."""
         _, address = self.serve_engine(prefill_rate=0.1)
         body = caller.encode_body(caller.make_chat("small", "how?", 4))
         answer = self.call(address, body=body, timeout=0.2)
@@ -213,7 +216,7 @@
                 gevent.sleep(0.01)
 
     def test_kept_connection_belongs_to_one_start(self):
-        """A connection to an earlier start is never used for a later one."""
+        """A connection to an earlier process start is not reused."""
         address = self.serve(lambda sock, _: sock.recv(9))
         kept = pool.Pool()
         first = kept.acquire(address, 1)
@@ -224,7 +227,7 @@
         self.assertIsNot(first, kept.acquire(address, 2))
 
     def test_answer_to_head_has_no_body(self):
-        """The length that it announces is not waited for."""
+        """The announced Content-Length of a HEAD response is not awaited."""
 
         def handle(sock, _):
             sock.recv(65536)
@@ -236,7 +239,7 @@
         self.assertEqual(0, answer.unwrap().size)
 
     def test_smuggled_header_is_not_sent(self):
-        """A header value with a line end makes no second request."""
+        """A header value with a line break is rejected, not sent."""
         self.assertRaises(
             ValueError,
             connection.encode_request,
@@ -248,11 +251,10 @@
         )
 
     def test_only_long_streams_are_coalesced(self):
-        """Pieces of a long stream hold several tokens, the first just one.
+        """Reads of a long stream hold several tokens, the first only one.
 
-        The engine makes 200 tokens, one every 2 ms. The caller sees the
-        first one at once; later ones come together, as far as the bound
-        on the wait lets them.
+        The engine generates 200 tokens, one every 2 ms. The first is
+        delivered at once; later ones are coalesced up to the limit.
         """
         _, address = self.serve_engine()
         body = caller.make_chat("small", "how warm?", 200)
--- a/tests/endpoints/test_watch.py
+++ b/tests/endpoints/test_watch.py
@@ -1,4 +1,4 @@
-"""How the start of an endpoint is watched."""
+"""Tests of endpoint monitors and process start detection."""
 
 import json
 
@@ -16,10 +16,10 @@
 
 
 class MonitorTest(testtools.TestCase):
-    """One endpoint on a socket of this process is watched."""
+    """Monitoring of one endpoint that runs in this process."""
 
     def setUp(self):
-        """Start the endpoint and its watch."""
+        """Start the endpoint and its monitor."""
         super().setUp()
         self.report = {"start": "one", "running": 3, "cold": True}
         self.connections = []
@@ -35,7 +35,7 @@
         self.addCleanup(self.monitors.assign, {})
 
     def handle(self, sock, _):
-        """Answer load reports on one connection."""
+        """Respond to load report requests on one connection."""
         self.connections.append(sock)
         while sock.recv(65536):
             body = json.dumps(self.report).encode()
@@ -50,7 +50,7 @@
                 return found
 
     def test_report_comes_after_the_start(self):
-        """A start is told first, then its load."""
+        """A process start is reported first, then its load."""
         start = self.events.get(timeout=5).start
         self.assertTrue(self.monitors.is_current(NAME, start))
         report = self.events.get(timeout=5).report
@@ -59,10 +59,10 @@
     def test_closed_socket_is_seen_before_monitor_runs(self):
         """The endpoint's process ends and another one takes its address.
 
-        A dispatch that was decided for the warm process stands between
-        connecting and sending. The check asks the socket itself, so that
-        it sees the end although no other task has run since; then the
-        loss and the new start are told in order.
+        A dispatch that was scheduled for the warm process is between
+        connecting and sending. The check reads the socket state, so it
+        notices the end although no other task has run since. Then the loss
+        and the new start are reported in order.
         """
         start = self.wait_for(models.EndpointConnected).start
         self.wait_for(models.EndpointReported)
@@ -74,14 +74,14 @@
         self.assertFalse(self.monitors.is_current(NAME, start))
 
     def test_other_start_behind_the_same_connection(self):
-        """A report that names another start is a loss and a start."""
+        """A report with another start ID counts as a loss and a new start."""
         self.wait_for(models.EndpointConnected)
         self.report = {"start": "two"}
         self.wait_for(models.EndpointLost)
         self.wait_for(models.EndpointConnected)
 
     def test_gap_in_cache_events_is_reported(self):
-        """Number 2 never comes: the event after it says so."""
+        """Event 2 is missing: the next event reports a gap."""
         events = [{"number": 1, "stored": [7], "evicted": []}]
         self.report["cache"] = {"events": events}
         first = self.wait_for(models.CacheReported)
@@ -93,7 +93,7 @@
         self.assertTrue(later.gap)
 
     def test_released_endpoint_is_disconnected(self):
-        """Its connection ends, and no start counts as current."""
+        """Its connection is closed and no start counts as current."""
         start = self.wait_for(models.EndpointConnected).start
         self.monitors.assign({})
         self.wait_for(models.EndpointLost)
