--- a/citronport/instances/__init__.py
+++ b/citronport/instances/__init__.py
@@ -1,1 +1,1 @@
-"""The peer `other entry instance`: forwarding and shared state."""
+"""Communication between entry instances: forwarding and shared state."""
--- a/citronport/instances/const.py
+++ b/citronport/instances/const.py
@@ -3,37 +3,42 @@
 from typing import Final
 
 PROTOCOL: Final = 1
-"""Version that each connection opens with."""
+"""Protocol version, sent in the first message of each connection."""
 
 ROLE_HOME: Final = "home"
-"""Look for an earlier run first, then start one there."""
+"""The receiver joins an existing run of the request or starts one."""
 
 ROLE_OWNER: Final = "owner"
-"""Decide there, for the endpoints that it owns; never forward again."""
+"""The receiver schedules the request on its own endpoints and never
+forwards it again."""
 
 MAX_MESSAGE_BYTES: Final = 8_000_000
 READ_BYTES: Final = 65536
 CONNECT_TIMEOUT_SECONDS: Final = 2.0
 
 REPORT_INTERVAL_SECONDS: Final = 0.25
-"""Pause between two reports to another instance."""
+"""Interval between two reports to a neighbour in a small fleet."""
 
 SILENCE_TIMEOUT_SECONDS: Final = 2.0
-"""A peer that sent nothing for so long is out of reach."""
+"""A neighbour that sent nothing for this long is considered unreachable."""
 
 FULL_MESH_INSTANCES: Final = 16
-"""Up to so many others all are neighbours: 15 links cost less than 1 KB/s
-at the pace below, and each instance has first-hand signs of life of all."""
+"""Fleets of up to this size form a full mesh: 15 links cost less than 1 KB/s
+at the interval below, and each instance monitors all others directly."""
 
 RING_REPORT_INTERVAL_SECONDS: Final = 2.0
-"""Pause between two reports in a large fleet; keeps control in 3 KB/s."""
+"""Interval between two reports in a larger fleet, whose links form a ring;
+limits the control traffic to 3 KB/s."""
 
 RELAYED_SILENCE_SECONDS: Final = 12.0
-"""How long second-hand silence counts; must outlast the hops of a report
-through the ring, nine of them at 510 instances, at a report each."""
+"""How long another instance's statement that a third one is silent counts.
+
+It must outlast the way of a report through the ring: nine hops at 510
+instances, with up to one report interval for each.
+"""
 
 MAX_LINK_IDLE_SECONDS: Final = 60.0
-"""A link to an instance that is no neighbour is closed when unused."""
+"""Idle time after which a link to a non-neighbour is closed."""
 
 VALUE_REQUEST_TIMEOUT_SECONDS: Final = 1.0
-"""How long one neighbour is given to send a value before another is asked."""
+"""Time for a neighbour to send a published value before another is asked."""
--- a/citronport/instances/gossip.py
+++ b/citronport/instances/gossip.py
@@ -1,4 +1,4 @@
-"""The task that reports to neighbours and spreads published values."""
+"""Exchanges reports and published values with neighbouring instances."""
 
 import collections.abc
 import dataclasses
@@ -19,15 +19,15 @@
 
 
 class Gossip:
-    """Keeps an instance and the others informed of each other.
+    """Exchanges load, reachability and published values between instances.
 
     Args:
-        links: the links to other instances.
-        published: the published values, offered to and taken from others.
-        owners: gets signs of contact and releases.
+        links: links to other instances.
+        published: the published values, sent to and received from others.
+        owners: is notified of contacts and of released endpoints.
         ticker: the clock.
-        summarize: returns what to tell of this instance's pressure.
-        post: takes events for the scheduler.
+        summarize: returns the load summary of this instance.
+        post: receives events for the scheduler.
     """
 
     def __init__(
@@ -53,19 +53,19 @@
         published.listen(self._announce_change)
 
     def get_silent_instances(self) -> frozenset[str]:
-        """Return the names of the instances out of reach."""
+        """Return the names of the unreachable instances."""
         return self._silent
 
     def has_synced(self) -> bool:
-        """Return whether no neighbour is known to have newer values.
+        """Return whether all reachable neighbours had no newer values.
 
-        A new instance may be told old values by a platform that is stale;
-        what was in force before it started, its neighbours know.
+        A new instance may read old values from a stale platform; its
+        neighbours have those that were in force before it started.
         """
         return self._neighbours - self._silent <= self._synced
 
     def report_forever(self) -> None:
-        """Report to the neighbours for ever."""
+        """Send reports to the neighbours until killed."""
         while True:
             self.report()
             self._ticker.sleep(self._get_report_interval())
@@ -76,7 +76,7 @@
         return const.RING_REPORT_INTERVAL_SECONDS
 
     def report(self) -> None:
-        """Report once and look at who is out of reach."""
+        """Send one report and update the set of unreachable instances."""
         now = self._ticker.now()
         self._links.update_links(self._published.instances, self._neighbours)
         silent = self._failure_detector.find_silent(
@@ -96,7 +96,7 @@
     def handle_message(
         self, sender: str, message: messages.Message
     ) -> messages.Message | None:
-        """Take a message of another instance; return the answer to it."""
+        """Handle a message of another instance; return the reply, if any."""
         now = self._ticker.now()
         self._failure_detector.record_contact(sender, now)
         match message:
@@ -135,7 +135,7 @@
         )
 
     def _request_newer(self, sender: str, versions: dict[str, int]) -> bool:
-        """Ask for what is newer there; return whether anything is."""
+        """Request values that are newer there; return if there are any."""
         mine = self._published.get_versions()
         newer = {p: v for p, v in versions.items() if v > mine.get(p, 0)}
         for path in newer:
@@ -143,8 +143,8 @@
         return bool(newer)
 
     def _request_value(self, sender: str, path: str, version: int) -> None:
-        # All neighbours tell of a change at about the same time; the value
-        # comes from one of them, and from another if that one fails.
+        # All neighbours announce a change at about the same time. The value
+        # is requested from one of them, and from another after a timeout.
         now = self._ticker.now()
         known, requested_at = self._requested.get(path, (-1, float("-inf")))
         if (
@@ -178,12 +178,13 @@
             self._links.send(sender, messages.Want(path=path, version=0))
 
     def reads_from_platform(self, path: str) -> bool:
-        """Return whether this instance is to watch a published value.
+        """Return whether this instance watches a value at the platform.
 
-        Load: hundreds of instances and a catalogue of up to a megabyte.
-        Harm: each change read whole by each costs thousands of times what
-        changed. In a large fleet the first few of each data centre, by
-        rendezvous hash, read it; all others get differences from peers.
+        With hundreds of instances and a catalogue of up to a megabyte,
+        reading each change in full everywhere costs thousands of times the
+        size of the change. In a large fleet only the first few instances of
+        each data centre, chosen by rendezvous hashing, read it; all others
+        get differences from their peers.
         """
         instances = self._published.instances
         me = instances.get(self._links.hello.instance)
@@ -199,8 +200,8 @@
 
     def _handle_release(self, message: messages.Release) -> None:
         mine = self._published.get_versions()
-        # A release that lay in a buffer while the list moved on says
-        # nothing of whoever owned the endpoint in between.
+        # A release that was buffered while the instance list changed says
+        # nothing about instances that owned the endpoint in between.
         if message.list_version == mine.get(catalogue_const.PATH_INSTANCES):
             self._owners.record_release(message.endpoint)
 
@@ -217,7 +218,7 @@
             self._failure_detector.set_neighbours(
                 self._neighbours, self._ticker.now()
             )
-        # A change is in force everywhere within seconds also where only
-        # one instance can read the platform: it tells at once instead of
-        # at its next turn.
+        # Report at once instead of after the interval, so that a change is
+        # in force everywhere within seconds even if only one instance can
+        # read the platform.
         gevent.spawn(self.report)
--- a/citronport/instances/link.py
+++ b/citronport/instances/link.py
@@ -1,4 +1,4 @@
-"""One msgpack stream to another instance: a task that owns the socket."""
+"""Connection to another instance that carries msgpack messages."""
 
 import collections.abc
 import contextlib
@@ -15,17 +15,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Closed:
-    """The stream is gone; nothing more comes."""
+    """The connection is closed; no more messages follow."""
 
 
 class Link:
-    """Sends and receives messages on one connected socket.
+    """Sends and receives messages over one connected socket.
 
-    Two tasks own the socket: one writes what ``send`` queued, one reads.
+    Two tasks own the socket: one writes queued messages, one reads.
 
     Args:
         sock: a connected socket; the link closes it.
-        deliver: takes each message, then ``Closed`` once.
+        deliver: receives each message, then ``Closed`` once.
     """
 
     def __init__(
@@ -35,8 +35,8 @@
             ["Link", messages.Message | Closed], None
         ],
     ) -> None:
-        # Without it a small write waits for the acknowledgement of the
-        # one before, which the other side may hold back for 40 ms.
+        # Otherwise a small write waits for the acknowledgement of the
+        # previous one, which the peer may delay by 40 ms.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock = sock
         self._deliver = deliver
@@ -45,23 +45,23 @@
         self._tasks = [gevent.spawn(self._write), gevent.spawn(self._read)]
 
     def send(self, message: messages.Message) -> None:
-        """Queue a message; it is lost if the stream is gone."""
+        """Queue a message; it is lost if the connection is closed."""
         self._outbox.put(messages.encode(message))
 
     def close(self) -> None:
-        """End the stream after what is queued has been written."""
+        """Close the connection after all queued messages are written."""
         self._outbox.put(None)
 
     def wait(self, timeout: float | None = None) -> None:
-        """Return when the stream is gone, or after so many seconds."""
+        """Wait until the connection is closed, or for timeout seconds."""
         gevent.joinall(self._tasks, timeout=timeout)
 
     def _write(self) -> None:
         while True:
             parts = [self._outbox.get()]
-            # One system call for all that waits: streams of many answers
-            # share this socket, and a call for each piece would cost more
-            # than the pieces.
+            # Write all queued messages in one system call: many response
+            # streams share this socket, and a call for each chunk would
+            # cost more than the chunk itself.
             while not self._outbox.empty():
                 parts.append(self._outbox.get())
             data = b"".join(part for part in parts if part is not None)
@@ -92,10 +92,10 @@
     def _handle_message(self, message: messages.Message) -> None:
         if isinstance(message, messages.Hello):
             if message.protocol != const.PROTOCOL:
-                raise ValueError("other protocol version")
+                raise ValueError("peer uses another protocol version")
             self.peer = message
         elif self.peer is None:
-            raise ValueError("no greeting")
+            raise ValueError("first message is not Hello")
         self._deliver(self, message)
 
     def _close_socket(self) -> None:
--- a/citronport/instances/membership.py
+++ b/citronport/instances/membership.py
@@ -1,4 +1,4 @@
-"""Which instances to keep links to, and which ones are out of reach."""
+"""Neighbour selection and failure detection among instances."""
 
 import xxhash
 
@@ -8,12 +8,12 @@
 def choose_neighbours(own_name: str, names: set[str]) -> set[str]:
     """Return the instances to report to.
 
-    Load: a fleet of up to some hundred instances. Harm: links from each
-    to each grow with the square. In a small fleet all are neighbours, so
-    that each learns at first hand who answers. In a larger one they stand
-    on a ring by hash, and each reports to those at distances 1, 2, 4 and
-    so on: a change reaches all in as many hops as the number of instances
-    has binary digits.
+    A fleet has up to some hundred instances, and the number of links of a
+    full mesh grows with its square. In a small fleet all instances are
+    neighbours, so that each monitors all others directly. In a larger one
+    they are placed on a ring by hash, and each reports to those at
+    distances 1, 2, 4 and so on: a change reaches all in as many hops as
+    the number of instances has binary digits.
 
     Args:
         own_name: name of this instance.
@@ -33,7 +33,11 @@
 
 
 class FailureDetector:
-    """Signs of life of the other instances, own and told."""
+    """Detects unreachable instances.
+
+    Neighbours are monitored directly; statements of other instances that a
+    third one is silent are relayed.
+    """
 
     def __init__(self) -> None:
         self._last_contact: dict[str, float] = {}
@@ -41,7 +45,7 @@
         self._neighbours: set[str] = set()
 
     def set_neighbours(self, names: set[str], now: float) -> None:
-        """Note from whom signs of life are expected."""
+        """Set the instances that are monitored directly."""
         for name in names - self._neighbours:
             self._last_contact[name] = now
         for name in self._neighbours - names:
@@ -49,9 +53,10 @@
         self._neighbours = set(names)
 
     def record_contact(self, name: str, now: float) -> None:
-        """Note a sign of life at first hand.
+        """Record a message received from an instance.
 
-        One that is no neighbour owes none: it is not waited for.
+        Contacts of non-neighbours are not tracked, since no regular
+        messages are expected from them.
         """
         if name in self._neighbours:
             self._last_contact[name] = now
@@ -60,10 +65,10 @@
     def record_relayed_silence(
         self, silent: dict[str, float], now: float
     ) -> None:
-        """Note whom another instance finds silent.
+        """Record which instances another one considers silent.
 
         Args:
-            silent: seconds since somebody said so at first hand, by name.
+            silent: seconds since a neighbour last stated it, by name.
             now: clock time, seconds.
         """
         for name, age in silent.items():
@@ -76,11 +81,11 @@
         now: float,
         report_interval: float = const.REPORT_INTERVAL_SECONDS,
     ) -> dict[str, float]:
-        """Return who is out of reach, with the age of that statement.
+        """Return the unreachable instances and the age of that finding.
 
-        What was told is forgotten after a while: whoever still finds an
-        instance silent says so again. This is how those who are not its
-        neighbours notice its return.
+        Relayed statements expire: neighbours that still consider an
+        instance silent repeat them. This is how instances that are not its
+        neighbours notice that it is back.
 
         Args:
             now: clock time, seconds.
--- a/citronport/instances/messages.py
+++ b/citronport/instances/messages.py
@@ -1,7 +1,8 @@
-"""Typed messages between entry instances, and their form on the wire.
+"""Typed messages between entry instances and their wire format.
 
-A message is a msgpack list: its number, then its fields in order. Nested
-data classes are maps. A connection opens with ``Hello``.
+A message is a msgpack list of its type number and its fields in order.
+Nested data classes are encoded as maps. The first message on a connection
+is ``Hello``.
 """
 
 import dataclasses
@@ -13,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Hello:
-    """First message on a connection, each way.
+    """First message on a connection, in each direction.
 
     Attributes:
         protocol: version of the protocol.
@@ -28,16 +29,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Submit:
-    """Run a request here.
+    """Asks the receiver to run a request.
 
     Attributes:
         stream: number of the exchange, unique on this connection.
         role: ``const.ROLE_HOME`` or ``const.ROLE_OWNER``.
         request: fields of ``scheduler.models.Request``; its deadline is
-            seconds from now, since clocks differ.
+            in seconds from now, since the instances' clocks differ.
         call: fields of ``endpoints.client.Call``.
-        identity: fields of ``callers.tickets.Identity``; None without a
-            key, and to an owner.
+        identity: fields of ``callers.tickets.Identity``; None without an
+            idempotency key, and in the owner role.
     """
 
     stream: int
@@ -49,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Leave:
-    """The caller of an exchange is gone."""
+    """The caller of an exchange has disconnected."""
 
     stream: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Begin:
-    """The answer of an exchange began."""
+    """The response of an exchange began."""
 
     stream: int
     status: int
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Piece:
-    """A piece of an answer; ``offset`` is the bytes before it."""
+    """A part of a response body; ``offset`` is its position in bytes."""
 
     stream: int
     offset: int
@@ -74,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class End:
-    """The answer is whole."""
+    """The response is complete."""
 
     stream: int
     size: int
@@ -82,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The final answer is a refusal."""
+    """The request was refused, or its response ends with an error."""
 
     stream: int
     code: int
@@ -93,13 +94,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Report:
-    """Pressure, versions and signs of life, answered by ``Echo``.
+    """Periodic report of load, versions and reachability.
+
+    The receiver replies with ``Echo``.
 
     Attributes:
-        sent: the sender's clock, seconds; only the sender reads it.
+        sent: time on the sender's clock, seconds; only the sender uses it.
         summary: fields of ``scheduler.models.InstanceSummary``.
         versions: version of each published value, by its path.
-        silent: instances out of reach; see ``membership``.
+        silent: unreachable instances; see ``membership``.
     """
 
     sent: float
@@ -110,12 +113,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Echo:
-    """Answer to a report.
+    """Reply to a report.
 
     Attributes:
-        sent: as in the report, so that the sender knows how old this
-            answer can be at most.
-        versions: as in a report, of the answering instance.
+        sent: copied from the report; gives the sender an upper bound of
+            the age of this reply.
+        versions: versions of the replying instance, as in a report.
     """
 
     sent: float
@@ -124,12 +127,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Release:
-    """The sender has given an endpoint up and has nothing more there.
+    """The sender no longer owns an endpoint and has no requests there.
 
     Attributes:
         endpoint: its name.
-        list_version: instance list by which the receiver owns it; a
-            release that comes late, under another list, does not count.
+        list_version: version of the instance list under which the receiver
+            owns it; a release for another version is ignored.
     """
 
     endpoint: str
@@ -138,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Want:
-    """Send me this published value if it is newer than mine."""
+    """Requests a published value if it is newer than this version."""
 
     path: str
     version: int
@@ -146,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Value:
-    """A published value, as the platform gave it."""
+    """A published value as read from the platform."""
 
     path: str
     version: int
@@ -155,7 +158,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Difference:
-    """How a published value changed; see ``platform.delta.Delta``."""
+    """A change of a published value; see ``catalogue.delta.Delta``."""
 
     path: str
     base: int
--- a/citronport/instances/peers.py
+++ b/citronport/instances/peers.py
@@ -1,4 +1,4 @@
-"""The task that speaks with the other entry instances."""
+"""Links to the other entry instances and the exchanges on them."""
 
 import collections.abc
 import dataclasses
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class _RemoteRun:
-    """A run for another instance, and the task that sends its answer."""
+    """A run for another instance and the task that sends its response."""
 
     run: runs.Run
     inbox: queue.Queue[answers.Message]
@@ -35,14 +35,15 @@
 
 
 class Peers:
-    """Keeps one link to each other instance and runs exchanges on it.
+    """Maintains links to other instances and runs exchanges over them.
 
     Args:
-        hello: the greeting of this process.
+        hello: the first message that this process sends on each link.
         ticker: the clock.
-        submit: takes a run that another instance sent, with its role.
-        handle_gossip: takes messages that belong to no exchange, and returns
-            the answer, if there is one.
+        submit: starts or joins the run of a request that another instance
+            sent, given its role.
+        handle_gossip: handles messages that belong to no exchange and
+            returns the reply, if there is one.
     """
 
     def __init__(
@@ -60,8 +61,8 @@
         self._handle_gossip = handle_gossip
         self._links: dict[str, link.Link] = {}
         self._instances: dict[str, models.Instance] = {}
-        # A new instance knows nobody yet: until it has a list, the links
-        # that others opened to it are the only way to ask for one.
+        # A new instance has no instance list yet: until then the links that
+        # others opened to it are the only way to request one.
         self._accepted: dict[str, link.Link] = {}
         self._connecting: set[str] = set()
         self._last_used: dict[str, float] = {}
@@ -80,11 +81,11 @@
     def update_links(
         self, instances: dict[str, models.Instance], neighbours: set[str]
     ) -> None:
-        """Open links that are missing; close those that nobody needs.
+        """Open missing links and close unused ones.
 
         Args:
-            instances: all on the list, by name.
-            neighbours: those to keep a link to.
+            instances: all instances on the list, by name.
+            neighbours: names of those to keep a link to.
         """
         self._instances = instances
         for name in neighbours - set(self._links):
@@ -101,14 +102,14 @@
                 known.close()
 
     def get_link(self, instance: str) -> link.Link | None:
-        """Return a link to an instance, opened if need be."""
+        """Return a link to an instance; open it if there is none."""
         self._last_used[instance] = self._ticker.now()
         if instance not in self._links and instance in self._instances:
             self._connect(self._instances[instance])
         return self._links.get(instance)
 
     def broadcast(self, message: messages.Message, names: set[str]) -> None:
-        """Send a message on the links to some instances."""
+        """Send a message to several instances."""
         for name in names:
             self.send(name, message)
 
@@ -119,11 +120,11 @@
             chosen.send(message)
 
     def is_idle(self) -> bool:
-        """Return whether no answer to another instance is on its way."""
+        """Return whether no response to another instance is in progress."""
         return not self._remote_runs
 
     def close_links(self, timeout: float) -> None:
-        """Close all links after what is queued on them has been written."""
+        """Close all links after their queued messages are written."""
         links = [*self._links.values(), *self._accepted.values()]
         for each in links:
             each.close()
@@ -131,23 +132,23 @@
             each.wait(timeout)
 
     def get_incarnation(self, instance: str) -> str | None:
-        """Return the incarnation of an instance that can be reached."""
+        """Return the incarnation of an instance, None without a link."""
         known = self._links.get(instance)
         return known.peer.incarnation if known and known.peer else None
 
     def forward(
         self, run: runs.Run, instance: str, role: str
     ) -> errors.Refusal | None:
-        """Have another instance run a request and deliver its answer.
+        """Have another instance run a request and deliver its response.
 
         Args:
-            run: the request; gets the answer.
-            instance: who is to run it.
+            run: the request; receives the response.
+            instance: name of the instance that is to run it.
             role: see ``messages.Submit``.
 
         Returns:
-            None once the answer is whole, else the refusal that has not
-            been given to the run yet.
+            None once the response is complete, otherwise a refusal, which
+            has not been delivered to the run.
         """
         chosen = self.get_link(instance)
         if chosen is None:
@@ -161,15 +162,16 @@
             refusal = _deliver_answer(inbox, run)
             ended = True
             if role == const.ROLE_HOME and chosen.peer is None:
-                # The kernel of a dying process still accepts links. One
-                # that closes before the greeting never reached the home;
-                # what an earlier copy did there is not known, as ever.
+                # The kernel still accepts connections for a process that is
+                # terminating. A link that closes before its Hello message
+                # never reached the home; whether an earlier copy of the
+                # request ran there remains unknown.
                 return _make_unreachable_refusal(role)
             return refusal
         finally:
             del self._exchanges[key]
-            # The caller left or was refused meanwhile: the other instance
-            # must not send the request to an endpoint any more.
+            # The caller disconnected or was refused meanwhile: the other
+            # instance must no longer send the request to an endpoint.
             if not ended:
                 chosen.send(messages.Leave(stream=key[1]))
 
@@ -177,8 +179,8 @@
         self, stream: int, role: str, work: runs.Work
     ) -> messages.Submit:
         request = dataclasses.asdict(work.request)
-        # Clocks of two instances differ, so that a time goes over the
-        # wire as seconds from now.
+        # The clocks of two instances differ, so times are sent as seconds
+        # from now.
         request["deadline"] -= self._ticker.now()
         return messages.Submit(
             stream=stream,
@@ -238,7 +240,7 @@
             case messages.Hello():
                 if source is not self._links.get(message.instance):
                     self._accepted[message.instance] = source
-                logging.info("%s %s is here.", LOG, message.instance)
+                logging.info("%s connected to %s.", LOG, message.instance)
             case _:
                 self._pass_to_gossip(source, message)
 
@@ -295,9 +297,9 @@
         self._remote_runs.pop(key, None)
 
     def _abandon_run(self, key: tuple[link.Link, int]) -> None:
-        # The reader is taken off here and not by its task: one that was
-        # killed before its first turn would leave the request waiting,
-        # to be run for nobody.
+        # The reader is detached here and not by its task: a task that is
+        # killed before it first runs would leave the reader attached, and
+        # the request would be run although nobody reads the response.
         remote_run = self._remote_runs.pop(key, None)
         if remote_run is not None:
             remote_run.task.kill(block=False)
@@ -305,8 +307,8 @@
 
 
 def _make_unreachable_refusal(role: str) -> errors.Refusal:
-    # Nothing was sent. Still, an earlier copy of a request that belongs to
-    # its home may have run there.
+    # Nothing was sent, but an earlier copy of a request in the home role may
+    # have run at its home.
     if role == const.ROLE_HOME:
         return errors.Refusal(code=errors.Code.HOME_UNREACHABLE)
     return errors.Refusal(code=errors.Code.NO_ENDPOINT, retry_after=0.5)
--- a/tests/instances/test_membership.py
+++ b/tests/instances/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of who is a neighbour and who is out of reach."""
+"""Tests of neighbour selection and failure detection."""
 
 import testtools
 
@@ -7,21 +7,21 @@
 
 
 def make_names(count):
-    """Return so many instance names."""
+    """Return a number of instance names."""
     return {f"entry-{number}" for number in range(count)}
 
 
 class NeighboursTest(testtools.TestCase):
-    """Few links, and a change reaches all."""
+    """Few links per instance, and a change reaches all instances."""
 
     def test_small_fleet_is_full_mesh(self):
-        """Each hears each at first hand."""
+        """All instances are neighbours of each other."""
         names = make_names(7)
         chosen = membership.choose_neighbours("entry-3", names)
         self.assertEqual(names - {"entry-3"}, chosen)
 
     def test_large_fleet_has_few_links_and_reaches_all(self):
-        """Nine links each at 510, and no instance that nobody tells."""
+        """510 instances have nine links each and are all reached."""
         names = make_names(510)
         chosen = {n: membership.choose_neighbours(n, names) for n in names}
         self.assertEqual({9}, {len(found) for found in chosen.values()})
@@ -33,7 +33,7 @@
         self.assertEqual(names, reached)
 
     def test_one_more_instance_moves_few_links(self):
-        """A replacement must not open the links of the whole fleet anew."""
+        """Adding an instance must not replace most links of the fleet."""
         before = make_names(200)
         after = before | {"entry-new"}
         moved = sum(
@@ -50,16 +50,16 @@
 
 
 class FailureDetectorTest(testtools.TestCase):
-    """Signs of life at first and at second hand."""
+    """Direct contacts and relayed silence."""
 
     def setUp(self):
-        """Expect signs of life of one neighbour."""
+        """Create a detector with one neighbour."""
         super().setUp()
         self.detector = membership.FailureDetector()
         self.detector.set_neighbours({"near"}, 0.0)
 
     def test_silent_neighbour_is_out_of_reach_until_heard(self):
-        """First-hand silence counts from the last sign of life."""
+        """The silence of a neighbour counts from its last message."""
         self.detector.record_contact("near", 1.0)
         late = 1.1 + const.SILENCE_TIMEOUT_SECONDS
         self.assertEqual({}, self.detector.find_silent(late - 0.2))
@@ -68,10 +68,11 @@
         self.assertEqual({}, self.detector.find_silent(late))
 
     def test_relayed_silence_ages_and_expires(self):
-        """Those who are not its neighbours notice a return.
+        """Instances that are not its neighbours notice a replacement.
 
-        A far instance dies and is replaced. Nobody says so any more; what
-        was told, and is told on from one to the next, must run out.
+        A remote instance dies and is replaced, so no neighbour states its
+        silence any more. Statements that are relayed from one instance to
+        the next must not keep each other alive.
         """
         self.detector.record_relayed_silence({"far": 1.0}, 10.0)
         self.assertAlmostEqual(3.0, self.detector.find_silent(12.0)["far"])
@@ -82,10 +83,10 @@
         self.assertNotIn("far", other.find_silent(gone))
 
     def test_report_interval_of_large_fleet_is_no_silence(self):
-        """A report each 2 s must not look like a death in between.
+        """An interval of 2 s between reports must not count as silence.
 
-        Seen as neighbours that are out of reach before each report, and
-        are told to be so to all others.
+        Otherwise neighbours are considered unreachable before each of their
+        reports, and this is relayed to all others.
         """
         interval = const.RING_REPORT_INTERVAL_SECONDS
         self.detector.record_contact("near", 0.0)
@@ -96,11 +97,11 @@
         )
 
     def test_contact_from_non_neighbour_is_not_monitored(self):
-        """Only a neighbour owes signs of life."""
+        """Regular messages are expected from neighbours only."""
         self.detector.record_contact("stranger", 0.0)
         self.assertNotIn("stranger", self.detector.find_silent(60.0))
 
     def test_direct_contact_overrides_relayed_silence(self):
-        """A neighbour that answers is not out of reach, whoever says so."""
+        """A neighbour with direct contact stays reachable."""
         self.detector.record_relayed_silence({"near": 0.0}, 1.0)
         self.assertEqual({}, self.detector.find_silent(1.0))
--- a/tests/instances/test_messages.py
+++ b/tests/instances/test_messages.py
@@ -8,16 +8,16 @@
 
 
 class MessagesTest(testtools.TestCase):
-    """What is sent is what is read, and nothing else is taken."""
+    """Encoding and decoding of messages."""
 
     def read(self, data):
-        """Return the messages in some bytes."""
+        """Return the decoded messages."""
         unpacker = messages.make_unpacker()
         unpacker.feed(data)
         return [messages.decode(raw) for raw in unpacker]
 
     def test_messages_round_trip(self):
-        """Two messages in one piece of the stream."""
+        """Two messages in one read are decoded as they were sent."""
         sent = [
             messages.Piece(stream=7, offset=3, data=b"\x00abc"),
             messages.Refused(
@@ -32,7 +32,7 @@
         self.assertEqual(sent, self.read(data))
 
     def test_unknown_and_broken_messages_are_refused(self):
-        """Another version's message ends the link and no more."""
+        """An unknown message raises ValueError, which closes the link."""
         for raw in ([], [99, 1], ["x"], [0, 1], {"a": 1}, [-1]):
             self.assertRaises(ValueError, messages.decode, raw)
 
@@ -49,7 +49,7 @@
         )
     )
     def test_any_input_is_decoded_or_refused(self, raw):
-        """No input makes the reader fail in another way."""
+        """No input raises anything but ValueError."""
         try:
             message = messages.decode(raw)
         except ValueError:
--- a/tests/instances/test_peers.py
+++ b/tests/instances/test_peers.py
@@ -1,4 +1,4 @@
-"""What a request becomes when the instance that it is sent to is gone."""
+"""Tests of forwarding to an instance that terminates."""
 
 import types
 
@@ -16,15 +16,16 @@
 
 
 class DyingHomeTest(testtools.TestCase):
-    """The home of a request dies, and a repeat comes in that moment.
+    """The home of a request terminates while a repeat is forwarded to it.
 
-    The old link is gone already, while the kernel of the dying process
-    still accepts a new one. It is closed before the home has greeted: the
-    home can't be reached, and what an earlier copy did is not known.
+    The old link is already closed, while the kernel still accepts a new
+    connection for the terminating process. It closes before the home sends
+    Hello: the home is unreachable, and whether an earlier copy of the
+    request ran is unknown.
     """
 
     def setUp(self):
-        """Listen for an instance that accepts nothing itself."""
+        """Listen on a socket that never accepts a connection."""
         super().setUp()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.listener.close)
@@ -45,7 +46,7 @@
         self.peers.update_links({"home": home}, set())
 
     def forward(self, role):
-        """Forward a request while the process dies; return the refusal."""
+        """Forward a request, close the listener; return the refusal."""
         run = runs.Run(samples.make_work(), lambda run: None)
         task = gevent.spawn(self.peers.forward, run, "home", role)
         gevent.sleep(0.02)
@@ -53,11 +54,11 @@
         return task.get(timeout=2)
 
     def test_home_without_hello_is_unreachable(self):
-        """The caller hears the same as from a home that is gone."""
+        """The refusal is the same as for a home that cannot be reached."""
         refusal = self.forward(const.ROLE_HOME)
         self.assertEqual(errors.Code.HOME_UNREACHABLE, refusal.code)
 
     def test_request_sent_to_owner_may_have_run(self):
-        """Another role's request was written: it is never "not run"."""
+        """In the owner role the request was written: never "not run"."""
         refusal = self.forward(const.ROLE_OWNER)
         self.assertEqual(errors.Code.INSTANCE_LOST, refusal.code)
