--- a/citronport/callers/__init__.py
+++ b/citronport/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The peer `caller`: address lookup, submission, answers."""
+"""HTTP interface for callers: entry lookup, submissions, responses."""
--- a/citronport/callers/answers.py
+++ b/citronport/callers/answers.py
@@ -1,4 +1,4 @@
-"""Writes the answers of runs to callers."""
+"""Writes the responses of runs to callers."""
 
 import collections.abc
 import json
@@ -22,16 +22,17 @@
         [errors.Refusal], errors.Refusal
     ],
 ) -> collections.abc.Iterator[bytes]:
-    """Write out the answer of a run as it comes.
+    """Write the response of a run as it arrives.
 
     Args:
-        start_response: of WSGI.
+        start_response: the WSGI callable.
         run: the run.
-        answer: its messages, from the first.
-        complete_refusal: adds what a refusal lacks, such as where to go.
+        answer: the messages of its response, from the first one.
+        complete_refusal: adds missing fields to a refusal, such as the
+            addresses of other entries.
 
     Raises:
-        replies.StreamCutError: the answer broke after its first byte.
+        replies.StreamCutError: the response failed after its first byte.
     """
     head: messages.Started | None = None
     begun = False
@@ -39,8 +40,8 @@
     for message in answer:
         match message:
             case messages.Started():
-                # Held back until the first byte: a refusal before it can
-                # still be told in full.
+                # Headers are held back until the first byte of the body: a
+                # refusal before it can still be sent with its own status.
                 head = message
                 continue
             case messages.Chunk() if run.work.call.stream:
@@ -80,11 +81,11 @@
 def _cut_stream(
     run: runs.Run, refusal: errors.Refusal
 ) -> collections.abc.Iterator[bytes]:
-    # A truncated answer with a clean end looks whole to the caller. A
-    # stream of events gets an error event first; then the connection ends
-    # without the closing chunk, which every HTTP client reports.
+    # A truncated response with a regular end would look complete to the
+    # caller. An event stream gets an error event first; then the connection
+    # closes without the final chunk, which every HTTP client reports.
     if run.work.call.stream:
         event = json.dumps(replies.describe_refusal(refusal))
         yield f"data: {event}\n\n".encode()
-    logging.warning("%s answer cut: %s.", LOG, refusal.code.name)
+    logging.warning("%s response truncated: %s.", LOG, refusal.code.name)
     raise replies.StreamCutError(refusal.code.name)
--- a/citronport/callers/application.py
+++ b/citronport/callers/application.py
@@ -1,4 +1,4 @@
-"""Routes what callers ask to what answers it."""
+"""WSGI application that routes the requests of callers."""
 
 import collections.abc
 import dataclasses
@@ -26,12 +26,12 @@
     """The WSGI application for callers.
 
     Args:
-        published: catalogue and instance list.
+        published: the catalogue and the instance list.
         records: issues the tickets.
         ticker: the clock.
         submit: returns the run of a submission; see
             ``deduplication.Deduplicator.submit``.
-        directory: knows which entries to use.
+        directory: selects the entries for a caller.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         environ: request_headers.Environ,
         start_response: replies.StartResponse,
     ) -> collections.abc.Iterable[bytes]:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         target = request_headers.read_target(environ)
         match self._find_entry(environ):
             case result.Err(refusal):
@@ -95,7 +95,7 @@
         entry: decisions.Entry,
     ) -> list[bytes]:
         if self._directory.is_leaving():
-            # A ticket of this instance would be worth nothing soon.
+            # A ticket of this instance would soon be invalid.
             refusal = errors.Refusal(code=errors.Code.LEAVING)
             return self._refuse(environ, start_response, refusal)
         query = urllib.parse.parse_qs(environ["QUERY_STRING"])
@@ -142,7 +142,8 @@
             environ, common.HEADER_IDEMPOTENCY_KEY
         )
         if self._directory.is_leaving() and not keyed:
-            # Before the body is read; a repeat may still join its run.
+            # Refuse before the body is read. A keyed request is excepted,
+            # since it may be a repeat that joins an existing run.
             refusal = errors.Refusal(code=errors.Code.LEAVING)
             return self._refuse(environ, start_response, refusal)
         now = self._ticker.now()
@@ -173,8 +174,8 @@
         if refusal.code != errors.Code.LEAVING or refusal.go_to:
             return refusal
         others = self._directory.list_others()
-        # There is somewhere else to go at once; if not, this instance or
-        # another one may be back soon.
+        # The caller can go to another entry at once. Without one, it waits
+        # for this or another instance to be back in service.
         retry_after = 0.0 if others else const.ALL_LEAVING_RETRY_SECONDS
         return dataclasses.replace(
             refusal, go_to=others, retry_after=retry_after
--- a/citronport/callers/bodies.py
+++ b/citronport/callers/bodies.py
@@ -1,4 +1,4 @@
-"""Reads the body of a request within its limits."""
+"""Reads request bodies within their limits."""
 
 import collections.abc
 import io
@@ -17,18 +17,18 @@
 
 
 class FramingError(OSError):
-    """A chunked body spends too much on its framing."""
+    """The chunks of a body are too small."""
 
 
 class _CountingReader:
-    """Counts the single bytes that the reader of chunks asks for."""
+    """Counts single-byte reads, which parse the framing of chunks."""
 
     def __init__(self, file: io.BufferedReader) -> None:
         self._file = file
         self._reads = 0
 
     def read(self, size: int) -> bytes:
-        """Read as the file does."""
+        """Read from the file."""
         if size == 1:
             self._count()
         return self._file.read(size)
@@ -36,21 +36,21 @@
     def _count(self) -> None:
         self._reads += 1
         if self._reads > const.MAX_FRAMING_READS:
-            raise FramingError("too many small chunks")
-        # Bytes that are here already are read without a turn of the loop.
+            raise FramingError("body has too many small chunks")
+        # Reading buffered bytes never yields to the event loop by itself.
         if self._reads % _READS_PER_YIELD == 0:
             gevent.sleep(0)
 
 
 class Body:
-    """The body of one request, not yet read.
+    """The unread body of one request.
 
     Args:
-        file: where it comes from.
-        length: announced bytes, None without an announcement.
-        chunked: whether it comes in chunks.
-        continue_socket: where "100 Continue" is to be sent first, if at all.
-        tracker: the bounds over all callers.
+        file: source of the body.
+        length: value of Content-Length, None without the header.
+        chunked: whether the transfer encoding is chunked.
+        continue_socket: socket for "100 Continue", None if not expected.
+        tracker: holds the limits and the body budget of all callers.
         on_complete: called once the body has been read.
     """
 
@@ -77,7 +77,7 @@
         self.complete = not chunked and not length
 
     def read_all(self) -> result.Result[bytes, errors.Refusal]:
-        """Return the body, or why it can't be taken."""
+        """Return the body, or the reason to refuse it."""
         limits = self._tracker.limits
         if (self._length or 0) > limits.body_bytes:
             return _refuse(errors.Code.BODY_TOO_LARGE)
@@ -92,11 +92,11 @@
         except TimeoutError:
             return _refuse(errors.Code.BODY_TOO_SLOW)
         except (OSError, ValueError):
-            # Bad chunks, or an end before the announced length.
+            # Malformed chunks, or an end before the announced length.
             return _refuse(errors.Code.MALFORMED, "framing of the body")
 
     def release(self) -> None:
-        """Give back what the body took of the budget."""
+        """Return the bytes of the body to the budget."""
         self._tracker.release_body_bytes(self._reserved)
         self._reserved = 0
 
@@ -121,8 +121,8 @@
         return result.Ok(b"".join(parts))
 
     def _discard(self) -> None:
-        # Called by pywsgi, which would read an unread body to its end
-        # however long that is; the handler closes the connection instead.
+        # Overrides a method of pywsgi, which would read an unread body of
+        # any length to its end; the handler closes the connection instead.
         pass
 
 
--- a/citronport/callers/connections.py
+++ b/citronport/callers/connections.py
@@ -1,4 +1,4 @@
-"""Open connections of callers, and the bounds on what they hold."""
+"""Open connections of callers and the limits on their resources."""
 
 import collections
 import contextlib
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What one caller, and all together, can make this process hold.
+    """Limits on the resources of one caller and of all callers.
 
     ``const`` gives the reason for each value; tests use smaller ones.
     """
@@ -26,19 +26,19 @@
 
 
 def make_limits() -> Limits:
-    """Return the limits that the process can keep.
+    """Return limits that fit the process's file descriptor limit.
 
-    Half of the file descriptors stay free for endpoints and instances.
+    Half of the descriptors stay free for endpoints and instances.
     """
     files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return Limits(connections=min(const.MAX_CONNECTIONS, files // 2))
 
 
 class ConnectionTracker:
-    """Counts connections and makes room by closing idle ones.
+    """Tracks connections and evicts idle ones to make room.
 
     Args:
-        limits: the bounds.
+        limits: the limits to enforce.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -61,11 +61,11 @@
         return len(self._open) == sum(map(len, self._idle.values()))
 
     def add(self, sock: socket.socket, address: str) -> bool:
-        """Take a new connection on; return False if there is no room."""
-        # Load: one address that holds connections busy, by heads that it
-        # sends byte by byte. Harm: nothing is idle, so that no room can
-        # be made for others. Half of all is far more than the callers
-        # behind one address translation need.
+        """Add a new connection; return False if there is no room."""
+        # One address may keep its connections busy by sending request
+        # heads byte by byte; none is idle then, and no room can be made
+        # for others. So an address gets at most half of all connections,
+        # which is far more than the callers behind one NAT address need.
         if self._count_by_address[address] >= self._get_address_limit():
             self._close_idle(address)
         if len(self._open) >= self.limits.connections:
@@ -80,7 +80,7 @@
         return True
 
     def remove(self, sock: socket.socket) -> None:
-        """Note that a connection is closed."""
+        """Remove a closed connection."""
         address = self._open.pop(sock, None)
         if address is None:
             return
@@ -90,15 +90,15 @@
             del self._count_by_address[address]
 
     def set_idle(self, sock: socket.socket, address: str) -> None:
-        """Note that a connection waits for the head of a request."""
+        """Mark a connection as waiting for a request."""
         if sock not in self._open:
-            # Closed to make room, and not yet ended by its task.
+            # It was evicted, and its task has not ended yet.
             return
         idle = self._idle.setdefault(address, collections.OrderedDict())
         idle[sock] = None
 
     def set_busy(self, sock: socket.socket, address: str) -> None:
-        """Note that a connection carries a request."""
+        """Mark a connection as carrying a request."""
         idle = self._idle.get(address)
         if idle is None:
             return
@@ -107,24 +107,24 @@
             del self._idle[address]
 
     def reserve_body_bytes(self, size: int) -> bool:
-        """Take bytes from the budget of all bodies, if there are so many."""
+        """Reserve bytes of the body budget; return False if it is used up."""
         if self._body_bytes + size > self.limits.total_body_bytes:
             return False
         self._body_bytes += size
         return True
 
     def release_body_bytes(self, size: int) -> None:
-        """Give bytes back to the budget."""
+        """Return bytes to the body budget."""
         self._body_bytes -= size
 
     def _get_address_limit(self) -> int:
         return max(1, self.limits.connections // 2)
 
     def _find_address_to_close(self) -> str:
-        # Load: a caller that opens connections and sends nothing. Harm:
-        # nobody else could connect. Closing the oldest idle connection of
-        # the address that has most of them meets that caller first; an
-        # idle connection that is closed costs its owner one connect.
+        # A caller that opens connections and sends nothing must not lock
+        # out others. Closing the oldest idle connection of the address with
+        # the most of them hits that caller first; any other caller only has
+        # to connect again.
         return max(self._idle, key=lambda a: len(self._idle[a]), default="")
 
     def _close_idle(self, address: str) -> None:
@@ -134,5 +134,5 @@
         sock = next(iter(idle))
         self.remove(sock)
         with contextlib.suppress(OSError):
-            # Wakes the task that reads from it, which then closes it.
+            # Wakes the task that reads from the socket, which closes it.
             sock.shutdown(socket.SHUT_RDWR)
--- a/citronport/callers/deduplication.py
+++ b/citronport/callers/deduplication.py
@@ -1,4 +1,4 @@
-"""Starts each keyed request once, wherever its repeats arrive."""
+"""Starts each keyed request once, at whichever entry repeats arrive."""
 
 import collections.abc
 
@@ -16,15 +16,15 @@
 
 
 class Deduplicator:
-    """Carries out what ``idempotency.Home`` decides.
+    """Carries out the decisions of ``idempotency.RequestRecords``.
 
     Args:
-        records: the requests this incarnation has taken.
+        records: the keyed requests of this incarnation.
         ticker: the clock.
         start_run: starts a run here.
-        abandon: told of a run that nobody waits for any more.
-        forward: hands a run to the home of its ticket; returns None once
-            the answer is whole, else the refusal.
+        abandon: stops a run that has no caller any more.
+        forward: forwards a run to the home of its ticket; returns None
+            once the response is complete, otherwise the refusal.
         is_leaving: whether this instance takes no new work.
     """
 
@@ -66,15 +66,15 @@
                 return self._submit_new(work)
 
     def sweep_forever(self) -> None:
-        """Drop old records and give up runs that nobody reads."""
+        """Drop expired records and stop abandoned runs until killed."""
         while True:
             self._ticker.sleep(const.SWEEP_INTERVAL_SECONDS)
             for run in self._records.remove_expired(self._ticker.now()):
                 self._abandon(run)
 
     def _submit_new(self, work: runs.Work) -> runs.Run:
-        # Only a new run is refused here: a repeat of one that started
-        # before the order to leave still joins it.
+        # Only new runs are refused: a repeat still joins a run that started
+        # before this instance began to leave.
         if self._is_leaving():
             refusal = errors.Refusal(code=errors.Code.LEAVING)
             return make_refused_run(work, refusal)
@@ -84,8 +84,8 @@
             run = runs.Run(
                 work, self._abandon, keep=True, settle=self._record_end
             )
-            # The record stands before the run can be dispatched, so that
-            # a repeat can not come in between.
+            # Add the record before the run can be dispatched, so that a
+            # repeat cannot arrive in between.
             self._records.add(work.identity, run)
         self._start_run(run)
         return run
@@ -97,8 +97,8 @@
         self, work: runs.Work, instance: str, *, forwarded: bool
     ) -> runs.Run:
         if forwarded:
-            # A request goes home in one step; two would mean that the
-            # sender's view of the fleet is wrong.
+            # A request is forwarded to its home only once; a second step
+            # would mean that the sender's view of the fleet is wrong.
             refusal = errors.Refusal(code=errors.Code.HOME_UNREACHABLE)
             return make_refused_run(work, refusal)
         relay: gevent.Greenlet | None = None
@@ -116,7 +116,7 @@
         refusal: errors.Refusal | None = errors.Refusal(
             code=errors.Code.DEADLINE_PASSED_RUNNING
         )
-        # A home that is frozen keeps its link open and says nothing.
+        # A suspended home keeps its link open but does not respond.
         with gevent.Timeout(max(0.0, seconds), False):
             refusal = self._forward(run, instance)
         if refusal is not None:
@@ -124,7 +124,7 @@
 
 
 def make_refused_run(work: runs.Work, refusal: errors.Refusal) -> runs.Run:
-    """Return a run whose whole answer is a refusal."""
+    """Return a run that responds with a refusal."""
     run = runs.Run(work, lambda _run: None, keep=True)
     run.deliver(messages.Refused(refusal=refusal))
     return run
--- a/citronport/callers/disconnects.py
+++ b/citronport/callers/disconnects.py
@@ -1,4 +1,4 @@
-"""Notices that a caller leaves while its answer is awaited."""
+"""Detects that a caller disconnects while it waits for a response."""
 
 import collections.abc
 import select
@@ -18,12 +18,13 @@
 
 
 class DisconnectWatcher:
-    """Calls back, once, when the other side of a connection has ended it.
+    """Calls back once when the caller closes its connection.
 
-    The server would see it only at its next write, which for a request
-    that waits or prefills is its first token: work for nobody, in a place
-    that others wait for. A connection closed for writing only looks the
-    same and counts as gone too, as in other HTTP servers.
+    Otherwise the server would notice it only at its next write. For a
+    queued or prefilling request this is the first token, and until then an
+    abandoned request would occupy a slot that others wait for. A connection
+    that is shut down only for writing looks the same and counts as closed
+    too, as in other HTTP servers.
 
     Args:
         sock: the caller's connection; its body has been read.
@@ -65,8 +66,8 @@
         self._on_disconnect()
 
     def _start_polling(self) -> None:
-        # The next request is already here and stays unread until this one
-        # is answered, so that the socket is readable all the time.
+        # The next request has already arrived and stays unread until the
+        # current one is complete, so the socket is always readable.
         self.stop()
         pause = const.DISCONNECT_POLL_SECONDS
         self._timer = gevent.get_hub().loop.timer(pause, repeat=pause)
--- a/citronport/callers/head_validation.py
+++ b/citronport/callers/head_validation.py
@@ -1,8 +1,8 @@
-"""Checks of a request's head before anything else looks at it.
+"""Validates the head of a request before it is used.
 
-A head that two programs can read in two ways lets a caller hide a second
-request in the body of the first (request smuggling). What is ambiguous is
-refused, not repaired.
+If two programs interpret a head differently, a caller can hide a second
+request in the body of the first (request smuggling). Ambiguous heads are
+therefore refused, not repaired.
 """
 
 import re
@@ -36,10 +36,10 @@
 
 
 class HeadError(ValueError):
-    """A head is refused.
+    """The head of a request is refused.
 
     Attributes:
-        refusal: what to tell the caller.
+        refusal: the refusal for the caller.
     """
 
     def __init__(self, refusal: errors.Refusal) -> None:
@@ -48,15 +48,15 @@
 
 
 def check_request_line(line: str) -> result.Result[None, errors.Refusal]:
-    """Check method, target and version of a request line."""
+    """Check the method, target and version of a request line."""
     if len(line) >= const.MAX_LINE_BYTES:
         return result.Err(errors.Refusal(code=errors.Code.HEAD_TOO_LARGE))
     words = line.removesuffix("\r\n").split(" ")
     if len(words) != 3 or not line.endswith("\r\n"):
         return _refuse("request line")
     method, target, version = words
-    # An answer that breaks off looks whole to a caller of HTTP/1.0, which
-    # has no chunks.
+    # HTTP/1.0 has no chunked encoding, so a truncated response would look
+    # complete to the caller.
     if version != "HTTP/1.1":
         return _refuse("HTTP/1.1 is needed")
     if method not in const.METHODS:
@@ -69,11 +69,11 @@
 def check_headers(
     lines: list[bytes], singletons: frozenset[bytes] = SINGLETON_HEADERS
 ) -> result.Result[None, errors.Refusal]:
-    """Check the header lines of a request, without the closing empty one.
+    """Check the header lines of a request.
 
     Args:
-        lines: the header lines.
-        singletons: names, in lower case, that may stand once only.
+        lines: the header lines, without the final empty one.
+        singletons: lower-case names of headers that may occur only once.
     """
     seen: dict[bytes, bytes] = {}
     for line in lines:
--- a/citronport/callers/idempotency.py
+++ b/citronport/callers/idempotency.py
@@ -1,7 +1,7 @@
-"""The record of keyed requests that this incarnation has taken.
+"""Records of the keyed requests that this incarnation has accepted.
 
-Pure: no socket, no task; the time is handed in. ``deduplication`` acts on
-what is decided here.
+Contains no I/O and no tasks; the time is passed in. ``deduplication``
+carries out the decisions.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class JoinRun:
-    """The request has a run; read that run's answer from its start."""
+    """The request has a run; read its response from the start."""
 
     run: runs.Run
 
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Record:
-    # Kept small: there may be tens of thousands.
+    # Kept small, since there may be tens of thousands of records.
     body_hash: int
     issued: int | None
     run: runs.Run | None
@@ -49,12 +49,12 @@
 
 
 class RequestRecords:
-    """Remembers each keyed request for as long as a repeat can be taken.
+    """Keeps a record of each keyed request while repeats are possible.
 
     Args:
         instance: name of this instance.
-        incarnation: of this process.
-        started: clock time of its start, seconds.
+        incarnation: incarnation of this process.
+        started: clock time of the process start, seconds.
         max_records: see ``const.MAX_RECORDS``.
         answer_bytes: see ``const.ANSWER_BUDGET_BYTES``.
     """
@@ -79,7 +79,7 @@
         self._ended_bytes = 0
 
     def issue_ticket(self, now: float) -> tickets.Ticket:
-        """Return a ticket for requests that are to start here."""
+        """Return a ticket for requests whose home is this instance."""
         return tickets.Ticket(
             instance=self.instance,
             incarnation=self.incarnation,
@@ -89,20 +89,21 @@
     def decide(
         self, identity: tickets.Identity, now: float
     ) -> result.Result[Decision, errors.Refusal]:
-        """Decide what becomes of a keyed submission.
+        """Decide how to handle a keyed submission.
 
         Args:
-            identity: of the submission.
+            identity: identity of the submission.
             now: clock time, seconds.
 
         Returns:
-            What to do, or why the request can neither start nor be joined.
+            The decision, or a refusal if the request can neither start nor
+            join a run.
         """
         ticket = identity.ticket
         if ticket is not None and ticket.instance != self.instance:
             return result.Ok(ForwardToHome(instance=ticket.instance))
-        # The records of an earlier incarnation died with it: the request
-        # may have run, so that it may not start again here.
+        # The records of an earlier incarnation are lost. The request may
+        # have run, so it must not be started again.
         if ticket is not None and ticket.incarnation != self.incarnation:
             return result.Err(errors.Refusal(code=errors.Code.HOME_GONE))
         key = _make_key(identity)
@@ -113,9 +114,9 @@
             ticket.issued, now
         ):
             return result.Err(errors.Refusal(code=errors.Code.TICKET_EXPIRED))
-        # Load: more keyed requests than the sizes this is made for. Harm:
-        # memory without bound; dropping a record early would let a repeat
-        # run twice, so that new requests wait instead.
+        # The limit bounds the memory under more keyed requests than the
+        # process is sized for. Dropping a record early would allow a repeat
+        # to run twice, so new requests are refused instead.
         if len(self._running) + len(self._ended) >= self._max_records:
             return result.Err(
                 errors.Refusal(
@@ -126,7 +127,7 @@
         return result.Ok(StartRun())
 
     def add(self, identity: tickets.Identity, run: runs.Run) -> None:
-        """Remember a run that was started after ``Start``."""
+        """Add the record of a run that was started after ``StartRun``."""
         ticket = identity.ticket
         self._running[_make_key(identity)] = _Record(
             body_hash=identity.body_hash,
@@ -135,15 +136,15 @@
         )
 
     def record_end(self, run: runs.Run, now: float) -> None:
-        """Note that a run has come to its end."""
+        """Record that a run has ended."""
         assert run.work.identity is not None
         key = _make_key(run.work.identity)
         record = self._running.get(key)
         if record is None or record.run is not run:
             return
         del self._running[key]
-        # A run that was refused as "not run" is no obstacle to the next
-        # one: the caller was told that it may send the request again.
+        # A request that was refused as "not run" may run again: the caller
+        # was told that it may repeat it.
         if run.was_not_run:
             return
         run.forget_body()
@@ -153,9 +154,9 @@
         self._ended_bytes += _count_bytes(record)
 
     def remove_expired(self, now: float) -> list[runs.Run]:
-        """Drop what no repeat can need; return runs to give up.
+        """Drop expired records and answers; return abandoned runs to stop.
 
-        Meant to be called about once a second.
+        Meant to be called about once per second.
         """
         self._expire(now)
         self._trim_answers()
@@ -170,14 +171,14 @@
         return len(self._running) + len(self._ended)
 
     def _is_ticket_valid(self, issued: int, now: float) -> bool:
-        # A ticket from the future was not issued here; its record would
-        # be dropped while it could still start requests.
+        # A ticket with a future time was not issued here; its record would
+        # be dropped while the ticket could still start requests.
         age = now - self._started - issued
         return 0 <= age <= const.TICKET_LIFETIME_SECONDS
 
     def _expire(self, now: float) -> None:
-        # Records stand in the order of their end, so that each call looks
-        # only at those it drops.
+        # Records are ordered by the end of their run, so each call visits
+        # only those that it drops.
         while self._ended:
             key = next(iter(self._ended))
             if not self._is_expired(self._ended[key], now):
@@ -188,14 +189,14 @@
         assert record.ended is not None
         if now - record.ended <= const.RECORD_RETENTION_SECONDS:
             return False
-        # The rule that keeps a request from starting twice: a record
-        # outlives its ticket, by the same test that lets one start.
+        # A record must outlive its ticket, otherwise a request could start
+        # twice. Both use the same validity check.
         issued = record.issued
         return issued is None or not self._is_ticket_valid(issued, now)
 
     def _trim_answers(self) -> None:
-        # Oldest ends go first, since a repeat mostly comes within seconds;
-        # answers in progress only if nothing else is left.
+        # Answers that ended first are dropped first, since repeats mostly
+        # arrive within seconds; answers in progress are dropped last.
         while self._kept_answers and self._kept_answers[0].run is None:
             self._kept_answers.popleft()
         growing = sum(map(_count_bytes, self._running.values()))
@@ -232,9 +233,9 @@
 
 
 def _is_abandoned(record: _Record, now: float) -> bool:
-    # A caller whose link broke repeats within seconds, so that its run
-    # goes on for a while; after that the work is for nobody. What may run
-    # only once is finished: stopped half-way it could not be repeated.
+    # A caller that lost its connection repeats within seconds, so its run
+    # continues for a grace period. A non-idempotent run is always finished,
+    # since it could not be repeated after being stopped halfway.
     run = record.run
     if run is None or run.has_readers or not run.work.request.idempotent:
         record.unread_since = None
@@ -245,8 +246,8 @@
 
 
 def _make_key(identity: tickets.Identity) -> bytes:
-    # A hash that callers can't make collide: a collision would give one
-    # owner the answer of another.
+    # A cryptographic hash, so that callers cannot provoke collisions: a
+    # collision would give one owner the response of another.
     names = (identity.entry, str(identity.ticket or ""), identity.key)
     text = "\n".join(names).encode()
     return hashlib.blake2b(text, digest_size=16).digest()
--- a/citronport/callers/lookup.py
+++ b/citronport/callers/lookup.py
@@ -1,4 +1,4 @@
-"""Which entries a caller should use, in order."""
+"""Selects the entries that a caller should use, in order of preference."""
 
 import collections
 import collections.abc
@@ -16,14 +16,14 @@
 
 
 class Directory:
-    """Answers lookups; needs nothing that load can slow down.
+    """Computes lookups from local state only, independently of the load.
 
     Args:
-        published: catalogue and instance list.
+        published: the catalogue and the instance list.
         instance: name of this instance.
-        is_leaving: whether this instance takes no new work.
-        get_unreachable: names of instances that are out of reach.
-        get_owners: instance by endpoint.
+        is_leaving: whether this instance accepts no new work.
+        get_unreachable: returns the names of unreachable instances.
+        get_owners: returns the owning instance by endpoint.
         ticker: the clock.
     """
 
@@ -58,17 +58,17 @@
 
         Args:
             workspace: the caller's workspace.
-            model: what it is going to use, if it says so.
-            caller: any text that stays the same for one caller; without
-                it, each lookup may give another order.
+            model: model or service that it is going to use, if known.
+            caller: any stable identifier of the caller; without it, the
+                order may differ for each lookup.
         """
         usable = self._list_usable()
         ranked = self._rank(workspace, usable)
         size = self._get_window_size(workspace, len(ranked))
         window = rotate(ranked[:size], caller or secrets.token_hex(4))
         owners = self._find_owners(model)
-        # An entry that owns a fitting endpoint sends to it by itself; each
-        # other one relays every byte of the answer a second time.
+        # An entry that owns a suitable endpoint sends to it directly; any
+        # other one has to relay every byte of the response.
         window.sort(key=lambda name: name not in owners)
         ordered = [*window, *ranked[size:]]
         return self._get_addresses(ordered[: const.MAX_LOOKUP_ADDRESSES])
@@ -78,14 +78,14 @@
         return self._is_leaving()
 
     def list_others(self) -> tuple[str, ...]:
-        """Return where to go instead of here, in an order by chance."""
+        """Return addresses of other entries in random order."""
         names = [n for n in self._list_usable() if n != self._instance]
         others = rotate(names, secrets.token_hex(4))
         return self._get_addresses(others[: const.MAX_GO_TO_ADDRESSES])
 
     def _list_usable(self) -> tuple[str, ...]:
-        # Looks at all instances once for each change of what they depend
-        # on; the store replaces its values and never alters them.
+        # Recomputed only if an input changes; the store replaces its values
+        # and never modifies them.
         inputs = (
             self._published.instances,
             self._published.fleet,
@@ -113,8 +113,8 @@
         return fleet.data_centres if fleet else {}
 
     def _rank(self, workspace: str, usable: tuple[str, ...]) -> list[str]:
-        # Ranking costs a hash for each instance: once for each workspace
-        # and change of the list, not once a lookup.
+        # Ranking computes a hash for each instance, so it is cached by
+        # workspace until the list changes.
         if usable is not self._ranked_instances:
             self._ranking_by_workspace = {}
             self._ranked_instances = usable
@@ -125,8 +125,8 @@
         return self._ranking_by_workspace[workspace]
 
     def _find_owners(self, model: str) -> set[str]:
-        # All endpoints are looked at once a second, not once a lookup; an
-        # owner that has changed since costs a hop and nothing else.
+        # Computed once per second, not per lookup; an outdated owner only
+        # costs an additional hop.
         now = self._ticker.now()
         if now - self._owners_read_at >= const.OWNERS_CACHE_SECONDS:
             owners = self._get_owners()
@@ -152,7 +152,8 @@
 
 
 def _are_same(one: tuple[Any, ...], other: tuple[Any, ...]) -> bool:
-    # Published values are large: compared by identity, the rest by value.
+    # Published values are large, so they are compared by identity and the
+    # rest by value.
     return (
         len(one) == len(other)
         and all(a is b for a, b in zip(one[:2], other[:2], strict=True))
@@ -181,7 +182,7 @@
 def map_owners(
     fleet: models.Fleet | None, owners: dict[str, str]
 ) -> dict[str, set[str]]:
-    """Return, by model, the instances that own an endpoint with it."""
+    """Return the instances that own an endpoint of each model."""
     owners_by_model: dict[str, set[str]] = {}
     for endpoint in fleet.endpoints.values() if fleet else ():
         data_centre_state = fleet.data_centres.get(endpoint.data_centre)
@@ -197,25 +198,25 @@
 
 
 def get_window_size(share: float, instances: int) -> int:
-    """Return over how many entries a workspace is spread.
+    """Return the number of entries that a workspace is spread over.
 
-    Load: workspaces of unlike size, a few of them large. Harm: a large one
-    kept on few entries overloads them; a small one spread over all has
-    its prefixes looked for by entries that never saw them. Limit: twice
-    the entries that its share of the weight makes up, so that a
-    workspace that sends double its share still finds room; never fewer
-    than two, so that the loss of one entry leaves a known one.
+    Workspaces differ in size, and a few are large. A large one on few
+    entries overloads them; a small one on all entries rarely returns to an
+    entry that knows its prefixes. The window has twice the entries of the
+    workspace's share of the weight, so that a workspace that sends double
+    its share still finds capacity, and at least two entries, so that one
+    known entry remains if the other fails.
 
     Args:
-        share: of all workspaces' weight, 0 to 1.
-        instances: entries in service.
+        share: share of the total weight of all workspaces, 0 to 1.
+        instances: number of entries in service.
     """
     size = math.ceil(const.WINDOW_HEADROOM * share * instances)
     return min(instances, max(const.MIN_WINDOW_SIZE, size))
 
 
 def rotate(names: collections.abc.Sequence[str], caller: str) -> list[str]:
-    """Return names in order, starting at the one that a caller hits."""
+    """Rotate names to start at one chosen by the hash of the caller."""
     if not names:
         return []
     start = xxhash.xxh3_64_intdigest(caller.encode()) % len(names)
--- a/citronport/callers/models.py
+++ b/citronport/callers/models.py
@@ -1,4 +1,4 @@
-"""What callers send, validated at the border."""
+"""Validated models of request bodies."""
 
 import dataclasses
 import json
@@ -14,7 +14,7 @@
 
 
 class MessageModel(pydantic.BaseModel):
-    """One chat message; engines understand more fields than we do."""
+    """One chat message; additional fields are left to the engine."""
 
     model_config = pydantic.ConfigDict(extra="allow")
 
@@ -23,7 +23,7 @@
 
 
 class ChatModel(pydantic.BaseModel):
-    """The part of a chat-completions body that decisions need."""
+    """The fields of a chat-completions body that scheduling needs."""
 
     model_config = pydantic.ConfigDict(extra="allow")
 
@@ -40,13 +40,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Chat:
-    """A chat body as the decisions need it.
+    """A chat request in the form that the scheduler uses.
 
     Attributes:
         model: model name.
-        stream: whether the answer is a stream of events.
+        stream: whether the response is an event stream.
         prompt_tokens: estimate from the length of the text.
-        max_tokens: most tokens the answer may have.
+        max_tokens: maximum number of tokens in the response.
         prefix: hashes of the prompt's leading blocks, longest last.
     """
 
@@ -58,13 +58,14 @@
 
 
 def parse_chat(body: bytes) -> result.Result[Chat, errors.Refusal]:
-    """Check the body of a chat-completions call."""
+    """Parse and validate the body of a chat-completions call."""
     try:
         parsed = ChatModel.model_validate_json(body)
     except pydantic.ValidationError as error:
         first = error.errors()[0]
         place = ".".join(str(step) for step in first["loc"])
-        # Only the place and the rule: the caller's content stays out.
+        # Only the location and the rule: the refusal must not contain the
+        # caller's content.
         return result.Err(
             errors.Refusal(
                 code=errors.Code.MALFORMED,
@@ -85,7 +86,7 @@
 
 
 def hash_prefix(model: str, text: str) -> tuple[int, ...]:
-    """Return a hash for each leading block; each covers all before it."""
+    """Return a hash for each leading block; each covers all previous ones."""
     digest = xxhash.xxh3_64(model.encode())
     hashes = []
     for start in range(0, len(text), const.BLOCK_CHARS):
--- a/citronport/callers/replies.py
+++ b/citronport/callers/replies.py
@@ -1,4 +1,4 @@
-"""Refusals and small answers to callers."""
+"""Refusals and JSON responses to callers."""
 
 import collections.abc
 import json
@@ -15,13 +15,13 @@
 
 
 class StreamCutError(Exception):
-    """The answer ended early; the connection must end uncleanly."""
+    """The response is truncated; the connection must not end regularly."""
 
 
 def answer_json(
     start_response: StartResponse, body: dict[str, Any]
 ) -> list[bytes]:
-    """Answer with a JSON body."""
+    """Respond with a JSON body."""
     data = json.dumps(body).encode()
     start_response("200 OK", _make_headers(data))
     return [data]
@@ -33,12 +33,12 @@
     *,
     close: bool = False,
 ) -> list[bytes]:
-    """Answer with a refusal.
+    """Respond with a refusal.
 
     Args:
-        start_response: of WSGI.
-        refusal: what to tell.
-        close: whether the connection can not be used again.
+        start_response: the WSGI callable.
+        refusal: the refusal.
+        close: whether the connection cannot be reused.
     """
     status, headers, data = render_refusal(refusal)
     if close:
@@ -50,12 +50,12 @@
 def render_refusal(
     refusal: errors.Refusal,
 ) -> tuple[str, list[Header], bytes]:
-    """Return status line, headers and body of a refusal."""
+    """Return the status line, headers and body of a refusal."""
     meaning = refusal.meaning
     data = json.dumps(describe_refusal(refusal)).encode()
     headers = _make_headers(data)
-    # A client that repeats by itself does so at the same address, where a
-    # refusal that names others would only be given again.
+    # A client that retries automatically uses the same address, where a
+    # refusal that names other addresses would only be repeated.
     repeats_here = meaning.may_retry and not refusal.go_to
     headers += [
         (common.HEADER_CODE, str(int(refusal.code))),
@@ -63,8 +63,8 @@
         (common.HEADER_SHOULD_RETRY, "true" if repeats_here else "false"),
     ]
     if refusal.retry_after is not None:
-        # The usual header takes whole seconds; the other one, which the
-        # openai client reads first, keeps callers spread over the time.
+        # Retry-After only takes whole seconds. The header in milliseconds,
+        # which the openai client prefers, spreads retries over time.
         milliseconds = math.ceil(refusal.retry_after * 1000)
         headers += [
             ("Retry-After", str(math.ceil(refusal.retry_after))),
@@ -76,7 +76,7 @@
 
 
 def describe_refusal(refusal: errors.Refusal) -> dict[str, Any]:
-    """Return a refusal in the form that OpenAI-style clients read."""
+    """Return the body of a refusal in the OpenAI error format."""
     meaning = refusal.meaning
     text = meaning.text
     if refusal.detail:
@@ -95,10 +95,10 @@
 
 
 def split_events(data: bytes) -> tuple[bytes, bytes]:
-    """Return the whole events of a stream, and the beginning of the next.
+    """Split stream data into complete events and the rest.
 
-    An event that is cut in the middle can't be told from the error event
-    that follows the cut: clients would fail to parse both.
+    A truncated event could not be separated from the error event that
+    follows it: clients would fail to parse both.
     """
     ends = [
         found + len(mark)
--- a/citronport/callers/request_headers.py
+++ b/citronport/callers/request_headers.py
@@ -1,4 +1,4 @@
-"""What the head of a request says besides its path."""
+"""Reads the target and the headers of a request."""
 
 import dataclasses
 from typing import Any
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Target:
-    """Where a request goes.
+    """The target of a request.
 
     Attributes:
-        path: path and query as they came, without a ticket before them.
-        ticket: text of the ticket that stood before the path, or empty.
+        path: path and query as received, without a ticket prefix.
+        ticket: the ticket from the path prefix, empty without one.
     """
 
     path: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestHeaders:
-    """What the headers say of a request.
+    """The headers that control how a request is run.
 
     Attributes:
         timeout: seconds until the deadline.
@@ -49,10 +49,10 @@
 
 
 def read_target(environ: Environ) -> Target:
-    """Return the target of a request, as it stood in the request line.
+    """Return the target of a request as received in the request line.
 
-    The decoded path of WSGI may hold line ends, which would end up in the
-    request to the endpoint.
+    The decoded path of WSGI may contain line breaks, which would end up in
+    the request to the endpoint.
     """
     raw = environ[const.ENVIRON_TARGET]
     if not raw.startswith(const.PREFIX_TICKET):
@@ -64,7 +64,7 @@
 def parse_headers(
     environ: Environ, target: Target
 ) -> result.Result[RequestHeaders, errors.Refusal]:
-    """Return the marks of a request, or which header is wrong."""
+    """Parse the headers of a request; the refusal names an invalid one."""
     seconds = _read_deadline(environ)
     if seconds is None:
         return result.Err(_refuse_header(common.HEADER_DEADLINE))
@@ -80,8 +80,8 @@
     if flag.lower() not in const.FLAG_VALUES:
         return result.Err(_refuse_header(common.HEADER_NON_IDEMPOTENT))
     idempotent = not const.FLAG_VALUES[flag.lower()]
-    # Without a ticket a repeat at another entry, or at the next
-    # incarnation of this one, could not be told from a new request.
+    # Without a ticket, a repeat at another entry or at the next incarnation
+    # of this one could not be distinguished from a new request.
     if not idempotent and not (key and ticket):
         return result.Err(errors.Refusal(code=errors.Code.TICKET_NEEDED))
     return result.Ok(
@@ -92,7 +92,7 @@
 
 
 def get_header(environ: Environ, name: str) -> str:
-    """Return a header's value, empty if it is not there."""
+    """Return the value of a header, empty if it is missing."""
     return environ.get("HTTP_" + name.upper().replace("-", "_"), "").strip()
 
 
--- a/citronport/callers/server.py
+++ b/citronport/callers/server.py
@@ -1,4 +1,4 @@
-"""Speaks HTTP/1.1 with callers, and bounds what each may cost."""
+"""HTTP/1.1 server for callers with limits on their use of resources."""
 
 import collections.abc
 import contextlib
@@ -29,10 +29,10 @@
 
 
 class Handler(pywsgi.WSGIHandler):
-    """Serves one connection, a request after the other.
+    """Serves the requests of one connection in sequence.
 
-    Replaces pywsgi's reading of heads, which takes ambiguous ones, has no
-    timeout and logs what the caller sent.
+    Replaces pywsgi's parser of request heads, which accepts ambiguous heads,
+    has no timeout and logs what the caller sent.
     """
 
     server: "Server"
@@ -43,8 +43,9 @@
             if not self._wait_for_request():
                 return None
             self._read_head()
-            # Only now, so that heads sent byte by byte neither keep a
-            # leaving instance from its end nor hold a place for long.
+            # Busy only after the head is complete, so that heads sent byte
+            # by byte neither delay the shutdown of a leaving instance nor
+            # protect the connection from eviction.
             self.server.tracker.set_busy(self.socket, self.client_address[0])
         except head_validation.HeadError as error:
             self._refuse(error.refusal)
@@ -61,7 +62,7 @@
         return None if self.close_connection else True
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the WSGI environment of the head that has been read."""
+        """Return the WSGI environment for the current request head."""
         environ = self.server.get_environ()
         path, _, query = self.path.partition("?")
         environ["REQUEST_METHOD"] = self.command
@@ -79,7 +80,7 @@
         return environ
 
     def run_application(self) -> None:
-        """Run the application; stop when the caller leaves."""
+        """Run the application; stop it when the caller disconnects."""
         self._watcher: disconnects.DisconnectWatcher | None = None
         try:
             super().run_application()
@@ -88,11 +89,12 @@
                 self._watcher.stop()
 
     def handle_error(self, kind: type, error: Any, traceback: Any) -> None:
-        """Close the connection after a failure while answering."""
+        """Close the connection after an error in the application."""
         self.close_connection = True
         if issubclass(kind, _EXPECTED_ERRORS):
             return
-        # The message of an unexpected error may hold the caller's content.
+        # Log only the location: the message of an unexpected error may
+        # contain the caller's content.
         while traceback.tb_next is not None:
             traceback = traceback.tb_next
         code = traceback.tb_frame.f_code
@@ -107,7 +109,7 @@
             self._refuse(errors.Refusal(code=errors.Code.INTERNAL))
 
     def log_request(self) -> None:
-        """Keep no access log: paths may hold a ticket."""
+        """Write no access log: paths may contain tickets."""
 
     def _wait_for_request(self) -> bool:
         tracker = self.server.tracker
@@ -118,7 +120,7 @@
     def _read_head(self) -> None:
         limits = self.server.tracker.limits
         self.socket.settimeout(limits.send_seconds)
-        # Most heads come in one piece and need no timer.
+        # Most heads arrive in one read and need no timer.
         if _HEAD_END in self.rfile.peek(1):
             self._parse_head()
             return
@@ -134,7 +136,7 @@
     def _parse_head(self) -> None:
         line = self._read_line()
         if line == b"\r\n":
-            # One empty line before a request is allowed by RFC 9112.
+            # RFC 9112 allows one empty line before a request.
             line = self._read_line()
         text = line.decode("latin-1")
         _raise_if_refused(head_validation.check_request_line(text))
@@ -199,7 +201,7 @@
 
 
 class Server(pywsgi.WSGIServer):
-    """Takes connections of callers within their limits."""
+    """Accepts connections of callers within the limits."""
 
     handler_class = Handler
     tracker: connections.ConnectionTracker
@@ -207,7 +209,7 @@
     _open_refusals = 0
 
     def handle(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        """Serve a connection, or refuse it if there is no room."""
+        """Serve a connection, or refuse it if the limits are reached."""
         if not self.tracker.add(sock, address[0]):
             self._refuse(sock)
             return
@@ -217,9 +219,10 @@
             self.tracker.remove(sock)
 
     def close(self) -> None:
-        """Stop listening, after what has connected was taken."""
-        # A connection that waits in the kernel is reset when the listener
-        # closes: its caller can't tell whether its request ran.
+        """Stop listening after accepting all pending connections."""
+        # Connections that wait in the kernel's backlog are reset when the
+        # listener closes; their callers could not tell whether the request
+        # ran.
         while not self.closed and (taken := self.do_read()) is not None:
             self.do_handle(*taken)
         super().close()
@@ -255,9 +258,9 @@
         limits or connections.make_limits()
     )
     server.init_socket()
-    # Accepted sockets take this over from the listening one. Without it a
-    # small write waits for the acknowledgement of the one before, which a
-    # caller may hold back for 40 ms: each token would come that late.
+    # Accepted sockets inherit this option. Without it, a small write waits
+    # for the acknowledgement of the previous one, which a caller may delay
+    # by 40 ms, so each token would be that late.
     server.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return server
 
@@ -267,7 +270,8 @@
     for line in lines:
         name, _, value = line.decode("latin-1").partition(":")
         key = name.lower()
-        # WSGI writes "-" as "_": two names must not become one there.
+        # WSGI maps "-" to "_", so names with "_" are dropped to keep two
+        # headers from sharing one variable.
         if "_" in key:
             continue
         text = value.strip()
--- a/citronport/callers/submissions.py
+++ b/citronport/callers/submissions.py
@@ -1,4 +1,4 @@
-"""Turns an HTTP request into checked work."""
+"""Converts HTTP requests into validated work."""
 
 import secrets
 import urllib.parse
@@ -22,12 +22,12 @@
     entry: decisions.Entry,
     now: float,
 ) -> result.Result[runs.Work, errors.Refusal]:
-    """Read and check a request for an endpoint.
+    """Read and validate a request for an endpoint.
 
     Args:
-        environ: of WSGI; the body is read from it.
-        target: where the request goes.
-        entry: the catalogue entry it came in under.
+        environ: WSGI environment, from which the body is read.
+        target: target of the request.
+        entry: catalogue entry of the caller's key.
         now: clock time, seconds.
     """
     match request_headers.parse_headers(environ, target):
@@ -64,9 +64,9 @@
 
 
 def get_service(target: request_headers.Target) -> str | None:
-    """Return the name of the service at a path, None if there is none."""
+    """Return the service name in a target, None if it has none."""
     segments = urllib.parse.unquote(target.name).split("/")
-    # A step upwards would leave the paths that are the service's own.
+    # A "." or ".." segment could lead out of the paths of the service.
     if any(segment in (".", "..") for segment in segments):
         return None
     if not target.name.startswith(const.PREFIX_SERVICES) or not segments[2]:
--- a/citronport/callers/tickets.py
+++ b/citronport/callers/tickets.py
@@ -1,10 +1,10 @@
-"""Tickets and what makes two submissions the same request.
+"""Tickets and the identity of requests.
 
 A ticket names the incarnation that issued it. Only that incarnation may
-start requests under it, so that a repeat at any entry finds the first run
-or learns that its outcome is unknown. Nothing is written outside the
-process: a ticket dies with its incarnation. docs/design/identity.md weighs
-the other ways.
+start requests under it, so a repeat at any entry either joins the first run
+or is told that its outcome is unknown. No state is stored outside of the
+process: a ticket is invalid once its incarnation ends.
+docs/design/identity.md discusses the alternatives.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """Names the home of the requests that a caller sends under it.
+    """Names the home instance of requests that a caller sends with it.
 
     Attributes:
         instance: name of the home.
@@ -31,12 +31,12 @@
     issued: int
 
     def __str__(self) -> str:
-        """Return the form that goes into a header or a path."""
+        """Return the form for a header or a path."""
         return f"{self.instance}.{self.incarnation}.{self.issued}"
 
 
 def parse_ticket(text: str) -> result.Result[Ticket, errors.Refusal]:
-    """Return the ticket of a header value."""
+    """Parse a ticket from a header or a path."""
     parts = text.rsplit(".", 2)
     if (
         len(text) > const.MAX_TICKET_CHARS
@@ -53,18 +53,18 @@
 
 
 def make_incarnation() -> str:
-    """Return a name that no other start of a process gets."""
+    """Return a unique identifier for this start of the process."""
     return secrets.token_hex(8)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Identity:
-    """What makes two submissions the same request.
+    """The fields by which two submissions are the same request.
 
     Attributes:
         entry: catalogue entry that the key belongs to.
         key: the caller's idempotency key.
-        ticket: None without one; the key then counts at one instance only.
+        ticket: None without one; the key then applies to one instance only.
         body_hash: hash of method, path and body.
     """
 
