--- a/tests/callers/__init__.py
+++ b/tests/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the caller side."""
+"""Tests of citronport.callers."""
--- a/tests/callers/fleets.py
+++ b/tests/callers/fleets.py
@@ -1,4 +1,4 @@
-"""A small fleet of processes for the tests of the caller side."""
+"""Small fleets of real processes for the tests of citronport.callers."""
 
 from standins import caller
 from standins import fleet
@@ -11,7 +11,7 @@
 
 
 def start_fleet(test, subnet, *, instances=2):
-    """Start a fleet that ends with a test; return it once it serves."""
+    """Start a fleet that is stopped after the test; wait until it serves."""
     layout = fleet.Layout(
         subnet=subnet,
         data_centres=("dc-1", "dc-2"),
@@ -33,7 +33,8 @@
     body = caller.make_chat("small", "hello", 1)
     for address in started.get_callers_addresses():
         caller.send_patiently(address, KEY, CHAT, body)
-        # Looks at the peers' links too: a ticket of each serves at each.
+        # Also waits for the links between instances: a ticket of each
+        # instance is accepted at all of them.
         for other in started.get_callers_addresses():
             headers = make_headers(other, "warm-up")
             caller.send_patiently(address, KEY, CHAT, body, headers=headers)
@@ -41,7 +42,7 @@
 
 
 def make_headers(address, key):
-    """Return the headers of a keyed request whose home is an entry."""
+    """Return headers of a keyed request whose home is the given entry."""
     return {
         "Idempotency-Key": key,
         "X-Citronport-Ticket": caller.look_up(address, KEY).ticket,
@@ -49,7 +50,7 @@
 
 
 def count_lines(started, name, kind, **fields):
-    """Return how many lines of a stand-in's record match."""
+    """Return how many lines of a stand-in's journal match."""
     lines = journal.read_lines(started.folder / f"{name}.jsonl")
     wanted = {"kind": kind, **fields}
     return sum(wanted.items() <= line.items() for line in lines)
--- a/tests/callers/test_calling_page.py
+++ b/tests/callers/test_calling_page.py
@@ -1,4 +1,4 @@
-"""The examples of docs/CALLING.md run as they are shown."""
+"""Runs the examples of docs/CALLING.md unchanged."""
 
 import os
 import pathlib
@@ -20,10 +20,10 @@
 
 
 class CallingPageTest(testtools.TestCase):
-    """A newcomer who copies an example gets an answer."""
+    """Each example works if it is copied from the page."""
 
     def test_examples_run(self):
-        """Each example ends well; the reservation is made once."""
+        """Each example exits with 0; the reservation is made once."""
         started = fleets.start_fleet(self, addresses.choose_subnet(4))
         environment = {
             **os.environ,
--- a/tests/callers/test_flood.py
+++ b/tests/callers/test_flood.py
@@ -1,4 +1,4 @@
-"""Hostile callers before a real instance, with a real engine behind it."""
+"""Hostile callers of a real instance with a stand-in engine."""
 
 import json
 import resource
@@ -18,7 +18,7 @@
 
 
 class FloodTest(testtools.TestCase):
-    """One instance, and more than it can bear."""
+    """One instance under more load than it can serve."""
 
     def setUp(self):
         """Start the instance."""
@@ -37,11 +37,11 @@
         return outcome, caller.make_expected(body)
 
     def test_ten_thousand_idle_connections(self):
-        """Idle connections cost others nothing but a new connect.
+        """Idle connections of one address do not lock out other callers.
 
         A caller opens 10,000 connections, or as many as this process may
-        hold, and sends nothing. The instance keeps the newest up to its
-        share. Callers at other addresses are served meanwhile.
+        hold, and sends nothing. The instance keeps the newest ones up to
+        the limit per address and serves callers at other addresses.
         """
         files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         count = min(IDLE_CONNECTIONS, files * 3 // 4)
@@ -61,11 +61,12 @@
         self.assertEqual(text, outcome.text)
 
     def test_abandoned_requests_free_the_engine(self):
-        """A caller that leaves stops its request in the engine.
+        """A caller that disconnects stops its request in the engine.
 
-        More callers than the engine has places send requests of 20 s, and
-        go. The engine's record shows the dispatched ones stopped; those
-        that waited never reach it, and the next caller is served at once.
+        More callers than the engine has slots send requests of 20 s and
+        disconnect. The engine's journal shows that dispatched requests are
+        stopped; queued ones never reach it, and the next caller is served
+        at once.
         """
         body = json.dumps(
             caller.make_chat("small", "a long review", 2000)
@@ -92,7 +93,7 @@
         self.assertEqual(0, self.count("finished"))
 
     def count(self, kind):
-        """Return how many long requests have a line in the record."""
+        """Return how many long requests have a line of this kind."""
         lines = journal.read_lines(self.fleet.folder / "engine-1.jsonl")
         long = {
             line["request"]
--- a/tests/callers/test_hostile.py
+++ b/tests/callers/test_hostile.py
@@ -1,4 +1,4 @@
-"""Broken and hostile callers are bounded, told a code, and harm nobody."""
+"""Broken and hostile callers get a refusal code and harm no other caller."""
 
 import json
 
@@ -65,10 +65,10 @@
 
 
 class HostileTest(testtools.TestCase):
-    """A server with small limits, and callers of all kinds."""
+    """A server with small limits and misbehaving callers."""
 
     def setUp(self):
-        """Start a server whose runs the test answers."""
+        """Start a server; the test itself responds to the runs."""
         super().setUp()
         self.runs = []
         self.abandoned = []
@@ -107,19 +107,19 @@
         self.addCleanup(self.server.stop)
 
     def submit(self, run):
-        """Take a run; answer it in a moment if the test wants that."""
+        """Record a run; respond to it unless responses are disabled."""
         self.runs.append(run)
         if self.answers:
             gevent.spawn(self.answer, run)
 
     def answer(self, run):
-        """Answer a run."""
+        """Respond to a run."""
         run.deliver(messages.Started(status=200, content_type="text/x"))
         run.deliver(messages.Chunk(offset=0, data=b"done\n\n"))
         run.deliver(messages.Finished(size=6))
 
     def connect(self, source="127.50.10.2"):
-        """Return a connection from an address."""
+        """Return a connection from a source address."""
         sock = socket.create_connection(
             self.server.address, timeout=10, source_address=(source, 0)
         )
@@ -127,7 +127,7 @@
         return sock
 
     def read(self, sock):
-        """Return code, status and body of the answer up to its end."""
+        """Return code, status and body of the response up to its end."""
         data = b""
         while piece := sock.recv(65536):
             data += piece
@@ -140,7 +140,7 @@
         return code, status, body
 
     def exchange(self, data, *, source="127.50.10.2"):
-        """Send bytes and return what came until the connection closed."""
+        """Send data; return the response read until the connection closes."""
         sock = self.connect(source)
         sock.sendall(data)
         answer = self.read(sock)
@@ -148,13 +148,13 @@
         return answer
 
     def wait_for(self, condition):
-        """Wait until something has come about."""
-        with gevent.Timeout(10, AssertionError("did not come about")):
+        """Wait until a condition holds."""
+        with gevent.Timeout(10, AssertionError("condition not met in 10 s")):
             while not condition():
                 gevent.sleep(0.01)
 
     def assert_served(self, source="127.50.10.3"):
-        """Check that a well-behaved caller gets its answer."""
+        """Check that a well-behaved caller gets its response."""
         headers = b"Connection: close\r\nContent-Length: %d\r\n\r\n"
         request = LINE + HEAD + headers % len(GOOD) + GOOD
         _, status, body = self.exchange(request, source=source)
@@ -162,10 +162,11 @@
         self.assertIn(b"done", body)
 
     def test_ambiguous_and_broken_heads(self):
-        """Heads that can be read in two ways are refused with a code.
+        """Ambiguous heads are refused with a code.
 
-        A smuggled request would hide in the body of another one. The
-        caller sees 400 with code 1007, then the connection is closed.
+        Guards against request smuggling, where a request is hidden in the
+        body of another one. The caller gets status 400 with code 1007, then
+        the connection is closed.
         """
         length = b"Content-Length: 5\r\n"
         chunked = b"Transfer-Encoding: chunked\r\n"
@@ -201,7 +202,7 @@
         self.assert_served()
 
     def test_broken_bodies(self):
-        """Bodies that are too large, slow or broken are refused."""
+        """Bodies that are too large, too slow or malformed are refused."""
         chunks = LINE + HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
         length = LINE + HEAD + b"Content-Length: %d\r\n\r\n"
         large = b"10000\r\n" + b"a" * 65536 + b"\r\n"
@@ -230,19 +231,19 @@
         self.assert_served()
 
     def test_body_that_ends_early(self):
-        """A caller that closes its side in the middle is told so."""
+        """A body that ends before its announced length is refused."""
         sock = self.connect()
         sock.sendall(LINE + HEAD + b"Content-Length: 100\r\n\r\n{")
         sock.shutdown(socket.SHUT_WR)
         self.assertEqual((1001, 400), self.read(sock)[:2])
 
     def test_slow_and_idle_connections(self):
-        """A slow head gets a code; it holds its place for that time only."""
+        """A slow head is refused and frees its connection afterwards."""
         self.assertEqual((1009, 408), self.exchange(LINE + HEAD)[:2])
         self.assert_served()
 
     def test_bodies_of_all_callers_are_bounded(self):
-        """Bodies held at once have one budget over all callers."""
+        """The bodies of all callers share one memory budget."""
         self.answers = False
         body = GOOD + b" " * 90_000
         request = LINE + HEAD + b"Content-Length: %d\r\n\r\n" % len(body)
@@ -260,11 +261,11 @@
         self.assert_served()
 
     def test_connections_are_bounded(self):
-        """One address can neither fill the server by idling nor by work.
+        """One address cannot use up all connections, idle or busy.
 
-        Idle connections of the address that has most of them make room; a
-        caller with fewer keeps its own. An address that holds half of all
-        connections busy is refused at once, others are served.
+        Idle connections of the address with the most of them are evicted; a
+        caller with fewer keeps its own. An address whose busy connections
+        are half of the limit is refused at once, others are served.
         """
         friend = self.connect("127.50.10.4")
         idle = [self.connect() for _ in range(20)]
@@ -284,11 +285,11 @@
         self.assert_served()
 
     def test_caller_leaves_while_it_waits(self):
-        """A run is given up when its caller goes, also behind pipelining.
+        """A run is abandoned if its caller disconnects, also if pipelining.
 
-        The handler waits for the answer and reads nothing. Without a
-        watch it would see the end at its next write only. A second
-        request that is already in the socket hides the end from a read.
+        The handler waits for the response and reads nothing. Without the
+        watcher it would notice the disconnect only at its next write. A
+        pipelined request in the socket hides the end from a read.
         """
         self.answers = False
         headers = b"Content-Length: %d\r\n\r\n" % len(GOOD)
@@ -304,10 +305,10 @@
             self.wait_for(lambda: self.abandoned == self.runs)
 
     def test_partial_requests_do_not_delay_shutdown(self):
-        """A leaving instance refuses at once, and half a head is no work.
+        """A leaving instance does not wait for partial requests.
 
-        A caller that sends its head byte by byte, or a body that it never
-        ends, would else keep the instance from its end.
+        Otherwise a caller that sends its head byte by byte, or a body that
+        it never completes, would delay the shutdown of the instance.
         """
         held = self.connect()
         held.sendall(LINE)
@@ -319,7 +320,7 @@
         self.assertEqual([], self.runs)
 
     def test_caller_that_reads_nothing(self):
-        """An answer that its caller does not take is cut after a while."""
+        """A run is abandoned if its caller stops reading the response."""
         self.answers = False
         sock = self.connect()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/callers/test_idempotency.py
+++ b/tests/callers/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The record of keyed requests: each one starts at most once."""
+"""Tests of the records of keyed requests: each starts at most once."""
 
 import collections
 
@@ -23,7 +23,7 @@
 
 
 def make_work(identity=None, *, idempotent=True):
-    """Return work of which only the identity counts."""
+    """Return work in which only the identity matters."""
     return samples.make_work(
         seconds=1e9, identity=identity, idempotent=idempotent
     )
@@ -35,7 +35,7 @@
 
 
 class Instance:
-    """One instance: its records and what it started."""
+    """The records of one instance."""
 
     def __init__(self, name, ticker, **bounds):
         self.ticker = ticker
@@ -45,7 +45,7 @@
         )
 
     def submit(self, identity, **options):
-        """Return the decision; a started run is added as the keeper does."""
+        """Return the decision, or the run if one is started and added."""
         decision = self.records.decide(identity, self.ticker.now())
         if decision != result.Ok(idempotency.StartRun()):
             return decision
@@ -60,7 +60,7 @@
 
 
 class Simulation:
-    """Two entries, their callers, and copies on the way between them."""
+    """Two entries, their callers and the copies forwarded between them."""
 
     def __init__(self):
         self.ticker = clock.ManualClock()
@@ -72,7 +72,7 @@
             self.restart(name)
 
     def step(self, kind, number):
-        """Do one thing; the number chooses among those possible."""
+        """Run one step; the number selects its parameters."""
         name = NAMES[number % 2]
         match kind:
             case "send":
@@ -101,7 +101,7 @@
                     each.records.remove_expired(self.ticker.now())
 
     def submit(self, name, identity):
-        """Hand a copy to an entry; note what it starts."""
+        """Submit a copy to an entry; record a run that it starts."""
         outcome = self.instances[name].submit(identity)
         match outcome:
             case runs.Run():
@@ -110,7 +110,7 @@
                 self.in_transit.append((instance, identity))
 
     def end(self, number):
-        """Let a run end: whole, not run, or unknown."""
+        """End a run as complete, not run or with an unknown outcome."""
         live = [r for rs in self.started.values() for r in rs if not r.ended]
         if not live:
             return
@@ -124,12 +124,12 @@
                 refuse(run, errors.Code.ENDPOINT_LOST)
 
     def restart(self, name):
-        """Replace an entry by a new process."""
+        """Replace an entry with a new process."""
         self.instances[name] = Instance(name, self.ticker)
 
 
 class InterleavingTest(testtools.TestCase):
-    """At most one run for each entry, ticket and key, in any order."""
+    """At most one run per entry, ticket and key, in any order of events."""
 
     @hypothesis.settings(
         max_examples=400, derandomize=True, deadline=None, database=None
@@ -142,12 +142,13 @@
         )
     )
     def test_request_starts_once(self, steps):
-        """A repeat never starts what may have run.
+        """A repeat never starts a request that may have run.
 
-        The caller sees one answer or "outcome unknown". Sends, repeats at
-        either entry, restarts, ends and time come in any order; a copy on
-        its way home arrives at any later moment, as behind a process that
-        is frozen. What was refused as "not run" may start again.
+        Sends, repeats at either entry, restarts, ends and the passage of
+        time occur in any order. A copy that is forwarded to its home may
+        arrive at any later time, as if a process had been suspended. A
+        request that was refused as "not run" may start again; otherwise the
+        caller gets one response or "outcome unknown".
         """
         simulation = Simulation()
         for kind, number in steps:
@@ -158,10 +159,10 @@
 
 
 class RequestRecordsTest(testtools.TestCase):
-    """Single rules of the record."""
+    """Individual rules of the records."""
 
     def setUp(self):
-        """Make an instance with small bounds."""
+        """Create an instance with small limits."""
         super().setUp()
         self.ticker = clock.ManualClock()
         self.instance = Instance(
@@ -169,7 +170,7 @@
         )
 
     def make_identity(self, key="key-1", *, ticket=True, body_hash=1):
-        """Return an identity under a fresh ticket, or without one."""
+        """Return an identity with a new ticket, or without one."""
         issued = self.instance.records.issue_ticket(self.ticker.now())
         return tickets.Identity(
             entry="entry",
@@ -183,13 +184,13 @@
         self.assertEqual(code, outcome.unwrap_err().code)
 
     def test_other_body_under_a_used_key(self):
-        """A key that comes with another body is refused."""
+        """A reused key with another body is refused."""
         self.instance.submit(self.make_identity())
         outcome = self.instance.submit(self.make_identity(body_hash=2))
         self.assert_code(errors.Code.KEY_REUSED, outcome)
 
     def test_ticket_from_the_future(self):
-        """A ticket that was never issued starts nothing."""
+        """A ticket with a future time was never issued and starts nothing."""
         ticket = self.instance.records.issue_ticket(self.ticker.now() + 5)
         identity = tickets.Identity(
             entry="entry", key="key", ticket=ticket, body_hash=1
@@ -198,7 +199,7 @@
         self.assert_code(errors.Code.TICKET_EXPIRED, outcome)
 
     def test_long_run_is_joined_after_its_ticket_expired(self):
-        """A repeat joins a run of 600 s, and its end for a while."""
+        """A repeat joins a run of 600 s until its record expires."""
         identity = self.make_identity()
         run = self.instance.submit(identity)
         self.ticker.advance(600)
@@ -215,7 +216,7 @@
         self.assert_code(errors.Code.TICKET_EXPIRED, outcome)
 
     def test_memory_is_bounded(self):
-        """Old answers go first; a full record refuses as "not run"."""
+        """Old answers are dropped first; further keys are refused."""
         first = self.make_identity("key-1")
         second = self.make_identity("key-2")
         for identity in (first, second):
@@ -233,10 +234,10 @@
         self.assertEqual(0, len(self.instance.records))
 
     def test_abandoned_run_is_stopped_after_grace_period(self):
-        """A run without readers goes on for the linger time only.
+        """A run without readers continues for the grace period only.
 
-        A caller whose link broke is back within seconds; later the work
-        is for nobody. What may run only once goes on to its end.
+        A caller that lost its connection repeats within seconds; after that
+        nobody reads the response. A non-idempotent run is always finished.
         """
         run = self.instance.submit(self.make_identity())
         self.instance.submit(self.make_identity("key-2"), idempotent=False)
--- a/tests/callers/test_identity.py
+++ b/tests/callers/test_identity.py
@@ -1,4 +1,4 @@
-"""One run for one request, wherever its repeats arrive; real processes."""
+"""One run per request, at whichever entry repeats arrive; real processes."""
 
 import signal
 
@@ -16,7 +16,7 @@
 
 
 class IdentityTest(testtools.TestCase):
-    """Keyed requests at several entries, and the loss of their home."""
+    """Keyed requests at several entries and the loss of their home."""
 
     def setUp(self):
         """Start three entries."""
@@ -27,7 +27,7 @@
         self.addresses = self.fleet.get_callers_addresses()
 
     def book(self, address, headers, **options):
-        """Send the reservation."""
+        """Send a reservation, which is non-idempotent."""
         all_headers = {"X-Non-Idempotent": "true", **headers}
         return caller.send(
             address,
@@ -43,16 +43,16 @@
         return fleets.count_lines(self.fleet, "reservations", "received")
 
     def assert_unknown(self, codes, outcome):
-        """Check for an "outcome unknown" with one of the codes."""
+        """Check for "outcome unknown" with one of the codes."""
         self.assertIn(outcome.code, [int(code) for code in codes])
         self.assertEqual(str(errors.Ran.OUTCOME_UNKNOWN), outcome.ran)
 
     def test_repeats_join_the_first_run(self):
-        """Six copies at three entries at once are one reservation.
+        """Six concurrent copies at three entries are one reservation.
 
-        Each caller gets the one receipt. A copy that arrives away from
-        its home is forwarded there, and finds the run of the first one.
-        A stream that is joined in the middle is read from its start.
+        Each caller gets the same receipt. A copy that arrives at another
+        entry is forwarded to the home, where it joins the first run. A
+        stream that is joined later is read from its start.
         """
         headers = fleets.make_headers(self.addresses[0], "press-4")
         tasks = [
@@ -85,11 +85,12 @@
     def test_home_is_frozen_then_dies(self):
         """Without its home a request ends as "outcome unknown".
 
-        The home is stopped: the caller at another entry waits to its
-        deadline, then learns that the outcome is unknown. The home wakes,
-        and may run what still stood in its socket, once. It is killed:
-        unreachable. Its successor knows nothing of it: gone. At no moment
-        another entry runs the request, since it can't know of a first run.
+        While the home is suspended, a caller at another entry waits until
+        its deadline and then gets "outcome unknown". The resumed home may
+        run the request from its socket buffer once. A killed home is
+        unreachable, and its successor has no record of the request: the
+        home is gone. No other entry ever runs the request, since it cannot
+        know whether it ran before.
         """
         home, other = self.addresses[:2]
         headers = fleets.make_headers(home, "press-5")
@@ -123,11 +124,11 @@
         self.assertEqual(1, self.count_bookings())
 
     def test_home_dies_in_the_middle_of_an_answer(self):
-        """An answer whose home dies ends uncleanly, and is not run again.
+        """A response whose home dies is truncated and is not run again.
 
-        The caller at another entry has read a part of its stream when the
-        link to the home breaks. It gets an error event and no clean end;
-        its repeat learns that the outcome is unknown.
+        A caller at another entry has read a part of its stream when the
+        link to the home fails. It gets an error event and no regular end;
+        its repeat gets "outcome unknown".
         """
         headers = fleets.make_headers(self.addresses[0], "review-2")
         body = caller.make_chat("small", "long review", 2000)
--- a/tests/callers/test_lookup.py
+++ b/tests/callers/test_lookup.py
@@ -1,4 +1,4 @@
-"""Which entries callers are sent to."""
+"""Tests of the entry lookup."""
 
 import collections
 
@@ -11,7 +11,7 @@
 
 
 def make_published(instances):
-    """Return a fleet of three data centres and three workspaces."""
+    """Return a store with three data centres and three workspaces."""
     published = store.Store()
     published.instances = {
         f"entry-{n}": models.Instance(
@@ -47,10 +47,10 @@
 
 
 class DirectoryTest(testtools.TestCase):
-    """Order and members of the answers."""
+    """Selection and order of the entries."""
 
     def setUp(self):
-        """Make a directory of twelve entries."""
+        """Create a directory of twelve entries."""
         super().setUp()
         self.published = make_published(12)
         self.leaving = False
@@ -66,28 +66,28 @@
         )
 
     def count_first(self, workspace):
-        """Return how many of 300 callers begin at each entry."""
+        """Return for how many of 300 callers each entry is the first."""
         return collections.Counter(
             self.directory.find(workspace, caller=str(n))[0]
             for n in range(300)
         )
 
     def test_spread_follows_the_share_of_the_workspace(self):
-        """A large workspace gets all entries, a small one a few."""
+        """A large workspace uses all entries, a small one only a few."""
         self.assertEqual(12, len(self.count_first("large")))
         small = self.count_first("small-1")
         self.assertEqual(3, len(small))
         self.assertGreater(min(small.values()), 60)
 
     def test_a_caller_keeps_its_entry(self):
-        """The same caller gets the same order each time."""
+        """The same caller always gets the same order."""
         orders = {
             self.directory.find("large", caller="press-4") for _ in range(5)
         }
         self.assertEqual(1, len(orders))
 
     def test_unavailable_entries_are_omitted(self):
-        """Leaving and dead entries and data centres out are not named."""
+        """Leaving, unreachable and out-of-service entries are omitted."""
         self.unreachable = frozenset({"entry-1"})
         self.leaving = True
         self.published.fleet.data_centres["dc-2"] = models.Service.OUT
@@ -97,7 +97,10 @@
         self.assertEqual(6, len(self.directory.list_others()))
 
     def test_owners_of_a_model_come_first(self):
-        """Inside its window a caller begins at an entry that owns."""
+        """Within its window a caller starts at an entry that owns the model.
+
+        Any other entry would have to relay the response.
+        """
         chosen = next(iter(self.count_first("small-1")))
         name = f"entry-{chosen.split(':')[0].split('.')[-1]}"
         self.owners = {"engine": name}
--- a/tests/callers/test_models.py
+++ b/tests/callers/test_models.py
@@ -1,4 +1,4 @@
-"""What callers send is checked before anything acts on it."""
+"""Tests of the validation of bodies and targets."""
 
 import hypothesis
 from hypothesis import strategies
@@ -20,13 +20,13 @@
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(strategies.binary())
     def test_any_bytes_are_refused_or_taken(self, body):
-        """No bytes raise an error."""
+        """No input raises an error."""
         match models.parse_chat(body):
             case result.Err(refusal):
                 self.assertEqual(errors.Code.MALFORMED, refusal.code)
 
     def test_too_many_messages(self):
-        """A chat of many tiny messages is refused."""
+        """A chat with too many tiny messages is refused."""
         joined = b",".join([MESSAGE] * (const.MAX_MESSAGES + 1))
         body = b'{"model":"a","messages":[%s]}' % joined
         refusal = models.parse_chat(body).unwrap_err()
@@ -34,10 +34,10 @@
 
 
 class TargetTest(testtools.TestCase):
-    """Paths of plain services."""
+    """Targets of requests to plain services."""
 
     def test_paths_stay_inside_the_service(self):
-        """No path climbs out, whatever way it is written."""
+        """No path leaves its service, in any encoding."""
         cases = {
             "/services/claims/submit?id=1": "claims",
             "/services/claims": "claims",
@@ -53,7 +53,7 @@
             self.assertEqual(name, submissions.get_service(target), path)
 
     def test_ticket_before_the_path(self):
-        """A ticket in the path is taken off it."""
+        """A ticket prefix is removed from the path."""
         environ = {const.ENVIRON_TARGET: "/t/e.i.7/v1/models?a=b"}
         self.assertEqual(
             request_headers.Target(path="/v1/models?a=b", ticket="e.i.7"),
--- a/tests/callers/test_openai.py
+++ b/tests/callers/test_openai.py
@@ -1,4 +1,4 @@
-"""The unmodified openai client, its own repeats included; real processes."""
+"""The unmodified openai client and its retries; real processes."""
 
 import signal
 
@@ -14,10 +14,10 @@
 
 
 class OpenAITest(testtools.TestCase):
-    """Only the base URL is changed."""
+    """Calls of the openai client with only the base URL changed."""
 
     def setUp(self):
-        """Start two entries; the engine stands beside the first one."""
+        """Start two entries; the engine is in the first data centre."""
         super().setUp()
         self.fleet = fleets.start_fleet(self, addresses.choose_subnet(5))
         self.addresses = self.fleet.get_callers_addresses()
@@ -33,19 +33,19 @@
         return client
 
     def count_received(self, tokens):
-        """Return how often a prompt of so many tokens got to the engine."""
+        """Return how often the engine received a prompt of this length."""
         return fleets.count_lines(
             self.fleet, "engine-1", "received", prompt_tokens=tokens
         )
 
     def wait_for(self, condition):
-        """Wait until something has come about."""
-        with gevent.Timeout(20, AssertionError("did not come about")):
+        """Wait until a condition holds."""
+        with gevent.Timeout(20, AssertionError("condition not met in 20 s")):
             while not condition():
                 gevent.sleep(0.02)
 
     def read_refusals(self, name):
-        """Return the codes of all refusals in the events of an entry."""
+        """Return the codes of all refusals in the event file of an entry."""
         lines = journal.read_lines(self.fleet.folder / f"{name}.events.jsonl")
         return [
             action["code"]
@@ -55,11 +55,11 @@
         ]
 
     def test_models_and_both_answer_forms(self):
-        """The three calls that callers use, and a keyed repeat.
+        """Model list, complete response, stream and a keyed repeat.
 
-        A ticket in the base URL is enough for a client that sets no
-        headers but the key: its repeat at another entry, a stream, is the
-        first run, read again.
+        A ticket in the base URL is sufficient for a client that sets no
+        header but the key: its repeat at another entry reads the stream of
+        the first run.
         """
         first, second = self.addresses
         client = self.make_client(first)
@@ -85,11 +85,11 @@
         self.assertEqual(1, len(ids))
 
     def test_client_retries_as_told(self):
-        """A refusal "not run" is repeated by the client itself.
+        """The client itself retries after a "not run" refusal.
 
-        The only engine's data centre is out: the entry beside it sends
-        callers away at once, the other one says when to come back. The
-        client obeys, and is served once the data centre is in again.
+        The data centre of the only engine is out of service: the entry in
+        it refers callers to the other one, which sends a retry time. The
+        client follows it and is served once the data centre is back.
         """
         self.fleet.set_data_centre("dc-1", "out")
         outcome = caller.Outcome(status=200)
@@ -119,11 +119,11 @@
         self.assertEqual(ran + 1, self.count_received(5))
 
     def test_unknown_outcome_is_not_repeated(self):
-        """The client's own repeats stop at "outcome unknown".
+        """The client does not retry after "outcome unknown".
 
-        The engine dies in the middle of a whole answer: 502. The ticket
-        is of an earlier incarnation: 409. Both are statuses that the
-        client repeats by default; here it must not.
+        The engine dies during a non-streamed response: 502. The ticket is
+        from an earlier incarnation: 409. The client retries both statuses by
+        default, but must not do so here.
         """
         client = self.make_client(self.addresses[0], max_retries=5)
         body = caller.make_chat("small", "long review of a die", 2000)
