--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -1,4 +1,4 @@
-"""Checks what callers ask and hands it to what answers it."""
+"""WSGI applications that validate callers' requests and answer them."""
 
 import collections.abc
 import random
@@ -24,27 +24,28 @@
 from citronport.scheduler.direct import routing
 
 LOOKUP_TTL_SECONDS = 2.0
-"""How long a caller may keep the answer of a lookup. Some keep it three
-times as long, and an instance that stops serves its callers meanwhile."""
+"""How long a caller may cache a lookup response. Some cache it three times as
+long; a stopping instance serves its callers in the meantime."""
 
 NO_CONFIGURATION_RETRY_SECONDS = 0.5
-"""When to come back to an instance that knows no configuration yet."""
+"""Retry time announced while an instance has no configuration yet."""
 
 START_WAIT_SECONDS = 1.0
-"""How long a request may wait for the first configuration, and for the
-other instances to be known: a store that
-answers gives it within a tenth of a second, one that returns from an outage
-within a second, the time after which a silent question is asked again."""
+"""How long a request may wait for the first configuration and for peer
+discovery. A reachable store delivers the configuration within a tenth of a
+second. A store that recovers from an outage takes up to a second, which is
+the time after which an unanswered query is repeated."""
 
 START_WAIT_SHARE = 0.25
-"""The same as a share of the caller's own patience, so that it can still
-come back and be served."""
+"""The same limit as a share of the time that the caller has left, so that it
+can still retry and be served."""
 
 START_POLL_SECONDS = 0.02
-"""Pause between two looks at whether the start is over."""
+"""Interval between two checks whether the start is complete."""
 
 LEAVING_RETRY_SECONDS = 0.1
-"""When to come back to another instance than one that leaves."""
+"""Retry time announced by a stopping instance; the caller retries at another
+instance."""
 
 PATH_METRICS = "/metrics"
 
@@ -55,14 +56,16 @@
     """The WSGI application for callers' requests.
 
     Args:
-        context: shared by all requests.
+        context: components shared by all requests.
         quotas: limits of workspaces.
-        compute_reach: returns the share of the instances in reach.
-        get_lag: returns the time until others hear of this one, seconds.
-        is_leaving: whether new connections should end with their answer.
-        is_closing: whether no new request is taken any more.
-        get_store_age: returns the age of the store's newest answer.
-        is_discovering_peers: whether the other instances are not known yet.
+        compute_reach: returns the share of the instances that are reachable.
+        get_lag: returns the delay until reports of this instance reach the
+            others, seconds.
+        is_leaving: returns whether connections are closed after a response.
+        is_closing: returns whether new requests are refused.
+        get_store_age: returns the age of the newest response of the store,
+            seconds.
+        is_discovering_peers: returns whether peer discovery is incomplete.
         ticker: the clock.
     """
 
@@ -179,13 +182,14 @@
     def _await_start(
         self, head: requests.CallerRequest, arrived: float
     ) -> models.Configuration | None:
-        """Return the configuration in force; wait a moment after a start.
-
-        Load: all instances lose power and start again while the store is
-        away, and callers come to them at once. Harm: refused in the first
-        second, callers that come back once only are refused for good, as
-        their second try meets an instance that knows no more. The wait is
-        short, since nobody knows how long the store stays away.
+        """Return the current configuration; wait for it briefly after a start.
+
+        After a power loss all instances may restart while the store is
+        unavailable, and callers connect at once. Some callers retry only
+        once. If they were refused within the first second, their retry would
+        meet an instance that still has no configuration, and the request
+        would fail. The wait is short, since the store may be unavailable for
+        any length of time.
         """
         patience = START_WAIT_SECONDS
         if head.patience is not None:
@@ -249,10 +253,10 @@
 
 
 class Lookups:
-    """The WSGI application that tells callers which instances to use.
+    """The WSGI application that returns the instances a caller should use.
 
     Args:
-        list_addresses: returns the addresses for a caller, given its own.
+        list_addresses: returns the instance addresses for a caller's address.
     """
 
     def __init__(
@@ -263,7 +267,7 @@
     def __call__(
         self, environ: Environ, start_response: replies.StartResponse
     ) -> collections.abc.Iterable[bytes]:
-        """Answer a lookup."""
+        """Answer a lookup request."""
         if environ["PATH_INFO"] != wire.PATH_LOOKUP:
             refusal = errors.Refusal(code=errors.Code.UNKNOWN_PATH)
             return refusals.answer(start_response, refusal)
@@ -279,10 +283,10 @@
 
 
 class Readiness:
-    """The WSGI application that tells whether the instance is ready.
+    """The WSGI application of the readiness check.
 
     Args:
-        is_ready: whether callers can be served.
+        is_ready: returns whether callers can be served.
     """
 
     def __init__(self, is_ready: collections.abc.Callable[[], bool]) -> None:
@@ -291,7 +295,7 @@
     def __call__(
         self, environ: Environ, start_response: replies.StartResponse
     ) -> collections.abc.Iterable[bytes]:
-        """Answer a question for readiness."""
+        """Answer a readiness check."""
         if environ["PATH_INFO"] == wire.PATH_READY and self._is_ready():
             return replies.answer_json(start_response, {})
         refusal = errors.Refusal(code=errors.Code.NO_CATALOGUE)
@@ -302,8 +306,8 @@
     """The WSGI application that serves the metrics.
 
     Args:
-        read: returns the state of the instance.
-        counts: what has happened.
+        read: returns the current state of the instance.
+        counts: counters of the instance.
     """
 
     def __init__(
@@ -317,7 +321,7 @@
     def __call__(
         self, environ: Environ, start_response: replies.StartResponse
     ) -> collections.abc.Iterable[bytes]:
-        """Answer a question for the metrics."""
+        """Answer a request for the metrics."""
         if environ["PATH_INFO"] != PATH_METRICS:
             refusal = errors.Refusal(code=errors.Code.UNKNOWN_PATH)
             return refusals.answer(start_response, refusal)
@@ -332,7 +336,7 @@
     workspace: models.Workspace | None,
     arrived: float,
 ) -> models.Work:
-    """Return what the decisions need to know of a request."""
+    """Return the properties of a request that scheduling depends on."""
     tier = route.tier
     if workspace is not None and workspace.tier is not None:
         tier = workspace.tier
@@ -355,7 +359,7 @@
 def count_units(
     workspace: models.Workspace, head: requests.CallerRequest
 ) -> float:
-    """Return what a request counts against its workspace's limit."""
+    """Return the units that a request uses of its workspace's limit."""
     if not workspace.counts_tokens:
         return 1.0
     if not head.counts_tokens:
--- a/citronport/relay/cluster_state.py
+++ b/citronport/relay/cluster_state.py
@@ -1,4 +1,4 @@
-"""What is in force, decoded from the copy of the store."""
+"""Current configuration and endpoints, decoded from the copy of the store."""
 
 import collections
 import collections.abc
@@ -18,32 +18,32 @@
 LOG = "world:"
 
 LAPSE_GRACE_SECONDS = 1.5
-"""How long an endpoint is used on whose entry vanished around an outage of
-the store. Entries lapse then although their endpoints live, and come back
-within two seconds; without the pause a return of the store would empty the
-list for that time and refuse every caller."""
+"""How long an endpoint stays in use after its entry vanished around an outage
+of the store. During an outage, entries of live endpoints expire and are
+entered again within two seconds. Without the grace period, the list would be
+empty for that time after a recovery, and every caller would be refused."""
 
 OUTAGE_RECOVERY_SECONDS = 3.0
-"""How long after an outage a vanished entry counts as lapsed."""
+"""Time after an outage during which a vanished entry counts as lapsed."""
 
 MAX_REMEMBERED_STARTS = 2000
-"""Starts of endpoints that are remembered, so that one whose entry comes
-back does not count as started anew."""
+"""Number of remembered starts of endpoints. An endpoint whose entry returns
+must not count as newly started."""
 
 
 class ClusterState:
-    """The typed view of what the store holds.
+    """Typed view of the store's items.
 
     Attributes:
-        configuration: the newest one; None before the first.
-        routes: of that configuration.
-        evacuated: data centres that get no work.
+        configuration: the newest valid configuration; None before the first.
+        routes: routes of that configuration.
+        evacuated: names of data centres that get no new work.
         endpoints: all listed endpoints, by name.
 
     Args:
-        cold_starts: told of endpoints that are cold.
-        forget: called with the name of each endpoint that is gone.
-        log: where changes are told.
+        cold_starts: receives the endpoints that are cold.
+        forget: called with the name of each removed endpoint.
+        log: the event log.
     """
 
     def __init__(
@@ -72,13 +72,13 @@
         now: float,
         returned: float,
     ) -> None:
-        """Take changes of the store.
+        """Apply changes of the store.
 
         Args:
             changes: the changed items.
             now: clock time, seconds.
-            returned: clock time at which the store was last back after an
-                outage; minus infinity if it never was away.
+            returned: clock time at which the store recovered from its last
+                outage, seconds; minus infinity if there was none.
         """
         lapsing = now - returned < OUTAGE_RECOVERY_SECONDS
         for item in changes:
@@ -92,7 +92,7 @@
         self._index()
 
     def sweep(self, now: float) -> None:
-        """Drop endpoints whose entries did not come back."""
+        """Remove endpoints whose lapsed entries did not return in time."""
         over = [n for n, until in self._lapsing.items() if now >= until]
         for name in over:
             self._drop(name)
@@ -119,12 +119,17 @@
 
     def _apply_configuration(self, item: wire.Item) -> None:
         if item.value is None:
-            # Operators replace it and never take it away.
-            logging.warning("%s the configuration was deleted.", LOG)
+            # Operators replace the configuration and never delete it.
+            logging.warning(
+                "%s configuration was deleted from the store; keeping the"
+                " current one.",
+                LOG,
+            )
             return
         match wire.parse_configuration(item.value):
             case result.Err(reason):
-                # The one in force stays: a broken one would refuse all.
+                # Keep the current configuration: without one, every request
+                # would be refused.
                 self._log.write(
                     events.InputRejected(
                         code=int(errors.InputFault.BAD_CONFIGURATION),
@@ -159,7 +164,7 @@
             self.evacuated.add(name)
         elif name in self.evacuated:
             self.evacuated.discard(name)
-            # Endpoints that had no work for a while may come back cold.
+            # Endpoints may be cold after a time without work.
             for endpoint in self.endpoints.values():
                 if endpoint.data_centre == name:
                     self._set_cold(endpoint, now)
@@ -188,7 +193,7 @@
             return
         match wire.parse_endpoint(item.key, item.value):
             case result.Err(reason):
-                # An entry that can't be read names no endpoint to use.
+                # An invalid entry does not describe a usable endpoint.
                 self._drop(name)
                 self._log.write(
                     events.InputRejected(
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -1,4 +1,4 @@
-"""Wiring of an instance that sends by itself; nothing is decided here."""
+"""Wires the components of an instance; holds no scheduling logic."""
 
 import pathlib
 import secrets
@@ -47,29 +47,29 @@
 LOG = "relay:"
 
 DRAIN_ACCEPT_SECONDS = 2.5
-"""How long an instance that leaves takes new work: callers keep the answer
-of a lookup for two seconds, and new answers name others at once."""
+"""How long a stopping instance still accepts requests. Callers cache a lookup
+response for two seconds; new lookup responses omit the instance at once."""
 
 PEER_DISCOVERY_SECONDS = 0.6
-"""How long an instance that has just started waits at most until it knows
-the others; it may be the only one."""
+"""Longest time after a start to wait for the other instances to be known.
+There may be none."""
 
 EXIT_MARGIN_SECONDS = 0.7
-"""Time before the kill at which the process ends at the latest."""
+"""Time left between the latest exit of the process and its forced kill."""
 
 SWEEP_INTERVAL_SECONDS = 0.25
-"""Pause between two looks at what has run out."""
+"""Interval between two removals of expired state."""
 
 SETTINGS_POLL_SECONDS = 2.0
-"""Pause between two looks at whether the settings file has changed."""
+"""Interval between two checks of the settings file for changes."""
 
 
 class Instance:
-    """One entry instance that sends requests to endpoints by itself.
+    """An instance that accepts callers' requests and sends them to endpoints.
 
     Args:
-        path: the settings file, read again when it changes.
-        settings: what it held at the start.
+        path: the settings file; reloaded when it changes.
+        settings: settings read from it at the start.
         ticker: the clock.
     """
 
@@ -215,7 +215,7 @@
         self._tasks = tasks.Supervisor(ticker, self._log_task_death)
 
     def serve(self) -> None:
-        """Run until a stop is ordered and the work in progress is done."""
+        """Run until a stop is requested and running requests are finished."""
         gevent.signal_handler(signal.SIGTERM, self.stop)
         gevent.signal_handler(signal.SIGHUP, self.reload)
         self._tasks.report_unhandled()
@@ -235,7 +235,7 @@
         self._log.write(events.Stopped(requests=self.application.running))
 
     def stop(self) -> None:
-        """Order a graceful shutdown; a second order changes nothing."""
+        """Start a graceful shutdown; further calls have no effect."""
         if self._leaving:
             return
         self._leaving = True
@@ -244,7 +244,7 @@
         self._stopped.set()
 
     def reload(self) -> None:
-        """Read the settings file again; what is wrong changes nothing."""
+        """Reload the settings file; keep the current settings if invalid."""
         match settings_module.read_settings(self._path):
             case result.Err(reason):
                 fault = int(errors.InputFault.BAD_SETTINGS)
@@ -263,7 +263,7 @@
                 )
 
     def is_ready(self) -> bool:
-        """Return whether callers should come here."""
+        """Return whether callers should use this instance."""
         ready = (
             self.cluster_state.configuration is not None
             and not self._leaving
@@ -277,14 +277,14 @@
     def list_addresses(self, caller: str) -> tuple[str, ...]:
         """Return the addresses that a caller should use.
 
-        Load: hundreds of instances, of which an answer may name a few.
-        Harm: given all, each caller keeps the first ones, which carry the
-        whole load while the others idle. Every caller has its own few, the
-        same ones whichever instance it asks, so that it can keep its
-        connections.
+        With hundreds of instances, a lookup response names only a few. If
+        all callers got the same list, each would use its first addresses,
+        and those instances would carry the whole load while the others
+        idle. Each caller therefore gets a subset of its own, which is the
+        same whichever instance it asks, so that it can reuse connections.
 
         Args:
-            caller: its address.
+            caller: address of the caller.
         """
         now = self._ticker.now()
         capacities = {
@@ -302,12 +302,13 @@
         )
 
     def _is_discovering_peers(self) -> bool:
-        """Return whether requests should wait until the others are known.
+        """Return whether requests should wait for peer discovery.
 
-        Load: all instances start again at once, and the callers of two
-        seconds come back to the first ones. Harm: one that knows nobody
-        takes all endpoints for its own. A hundred of them fill each engine
-        many times over, which turns away what could have waited a moment.
+        When all instances restart at once, two seconds' worth of callers
+        retry at the first ones that are up. An instance that knows no peers
+        assumes that it has all endpoints to itself; a hundred such
+        instances overfill each engine many times over, and the engines
+        reject requests that could have waited for a moment.
         """
         now = self._ticker.now()
         if now - self._started >= PEER_DISCOVERY_SECONDS:
@@ -461,7 +462,9 @@
     try:
         status = path.stat()
     except OSError as error:
-        # A file that is being replaced is there again at the next look.
-        logging.warning("%s %s: %s.", LOG, path, error.strerror)
+        # A file that is being replaced exists again at the next check.
+        logging.warning(
+            "%s cannot read settings file %s: %s.", LOG, path, error.strerror
+        )
         return (0, 0)
     return (status.st_mtime_ns, status.st_size)
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -1,4 +1,4 @@
-"""Finds a place for each request, or lets it wait for one."""
+"""Reserves endpoint capacity for requests and queues those that must wait."""
 
 import dataclasses
 import random
@@ -25,29 +25,29 @@
 from citronport.scheduler.direct import waiting
 
 MATCH_INTERVAL_SECONDS = 0.025
-"""Pause between two looks at waiting requests when nothing else happens: a
-pause for a suspect or cold endpoint ends without an event."""
+"""Interval at which queued requests are matched without another trigger. No
+event signals that a suspect or cold endpoint may be used again."""
 
 SHARE_CACHE_SECONDS = 0.05
-"""Age up to which the list of the instances is used again: reports that
-change it come every 0.1 s or later, and a choice takes less time than the
-list of ninety."""
+"""How long the list of instances is cached. Reports that change it arrive at
+intervals of 0.1 s or more, and choosing an endpoint takes less time than
+building the list of ninety instances."""
 
 MAX_RETRY_SHARE = 0.3
-"""Longest time to come back, as a share of what the caller has left; it
-waits for a third of that at most."""
+"""Longest retry time, as a share of the caller's remaining time. Callers wait
+for at most a third of that time before a retry."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reservation:
-    """A place that one request has taken.
+    """Capacity of an endpoint that is reserved for one request.
 
     Attributes:
-        place: the endpoint and what is expected of it.
-        run: record of the request on the board.
-        load: requests known to be there, with this one.
+        place: the endpoint with its expected time and cost.
+        run: record of the request in the load table.
+        load: requests known to be at the endpoint, including this one.
         pace: known pace of the endpoint.
-        leased: whether another instance handed it out.
+        leased: whether another instance granted the reservation.
     """
 
     place: selection.Place
@@ -58,26 +58,26 @@
 
     @property
     def endpoint(self) -> models.Endpoint:
-        """Where the request goes."""
+        """Endpoint that the request is sent to."""
         return self.place.endpoint
 
 
 class Dispatcher:
-    """Books places for requests.
+    """Reserves endpoint capacity for requests.
 
     Args:
         own: name of this instance.
-        cluster_state: what is in force.
+        cluster_state: current configuration and endpoints.
         members: the other instances.
-        board: loads and paces.
-        health: which endpoints answer.
-        cold: which endpoints are cold.
-        limits: what endpoints in need have said they take.
+        board: loads and paces of endpoints.
+        health: health of endpoints.
+        cold: endpoints that are cold.
+        limits: rate limits announced by endpoints.
         ticker: the clock.
 
     Attributes:
-        owners: who hands out places; None where nobody does.
-        lease_client: asks the owners for places.
+        owners: owners of the endpoints; None without leasing.
+        lease_client: requests leases from the owners; None without leasing.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
     def acquire(
         self, work: models.Work, service: str, tried: frozenset[str]
     ) -> Reservation | errors.Refusal:
-        """Return a place for a request; wait for one if need be."""
+        """Return a reservation for a request; wait for one if necessary."""
         found = self._acquire_lease(work, service, tried)
         if found is not None:
             return found
@@ -125,19 +125,20 @@
         if pause is not None:
             return self._refuse(work, service, pause)
         try:
-            # Not "get": its timeout could not be told from the one for
-            # the whole request, which has to end the request.
+            # Not "get": its timeout is indistinguishable from the deadline
+            # timeout of the whole request, which must end the request.
             woken.wait(timeout=waiting.compute_patience(work, now))
         finally:
             self.cancel(waiter, service)
         return woken.value or self._refuse(work, service)
 
     def enqueue(self, waiter: waiting.Waiter, service: str) -> float | None:
-        """Give a request a place at once, or let it wait for one.
+        """Queue a request and match it at once if there is capacity.
 
         Returns:
-            None; or if it would wait in vain, and does not, after how many
-            seconds it may find a place.
+            None if the request got a reservation or is queued. If its wait
+            would exceed its limit, it is not queued, and the expected wait
+            is returned, seconds.
         """
         queue = self._queues.get(service)
         if queue is None:
@@ -163,24 +164,24 @@
         known = configuration and configuration.services.get(service)
         endpoints = self._cluster_state.list_endpoints(service)
         if not known or not endpoints:
-            # Nothing is known that a forecast could go by.
+            # There is no data to base a forecast on.
             return 0.0
         places = self._selector.compute_places(known, endpoints)
         return queue.forecast(waiter, places, now)
 
     def cancel(self, waiter: waiting.Waiter, service: str) -> None:
-        """Take a request out that waits no longer."""
+        """Remove a request from the queue."""
         self._queues[service].remove(waiter)
 
     def record_first_event(self, reservation: Reservation) -> None:
-        """Note the first event of a request."""
+        """Report the first event of a leased request to its owner."""
         if reservation.leased and self.lease_client is not None:
             self.lease_client.report_first_event(
                 reservation.run.request_id, reservation.endpoint.name
             )
 
     def release(self, reservation: Reservation, request_id: str) -> None:
-        """Give a place back."""
+        """Release a reservation."""
         if reservation.leased and self.lease_client is not None:
             self.lease_client.release(
                 reservation.endpoint.name, reservation.run
@@ -192,12 +193,13 @@
         self.schedule_match()
 
     def schedule_match(self) -> None:
-        """Look soon whether requests that wait have a place now.
+        """Schedule one matching of queued requests with free capacity.
 
-        Load: an owner that hears of a thousand ends and questions a second
-        while hundreds of requests wait. Harm: a look at all endpoints for
-        each takes longer than the time between two, and the owner falls
-        silent. All news that have come are taken before one look.
+        An owner may receive a thousand released leases and lease requests a
+        second while hundreds of requests wait. Scanning all endpoints for
+        each message takes longer than the time between two messages, and
+        the owner would stop answering. All pending messages are handled
+        before one common scan.
         """
         if not self._match_scheduled and any(map(len, self._queues.values())):
             self._match_scheduled = True
@@ -210,13 +212,13 @@
                 self._match_queue(service, queue)
 
     def run_match_loop(self) -> None:
-        """Look at the waiting requests for ever."""
+        """Match queued requests at a fixed interval, indefinitely."""
         while True:
             self._ticker.sleep(MATCH_INTERVAL_SECONDS)
             self._match_queues()
 
     def count_waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         here = sum(len(queue) for queue in self._queues.values())
         return here + (
             self.lease_client.count_waiting() if self.lease_client else 0
@@ -246,8 +248,8 @@
         run = self._board.note_leased(name, work, now)
         endpoint = self._cluster_state.endpoints.get(name)
         if endpoint is None:
-            # The owner is ahead with the store's news, or behind: this
-            # instance knows no address for the name.
+            # The owner's copy of the store is newer or older than the one
+            # here, which has no address for the name.
             lease_client.release(name, run)
             return None
         self._cold.note_send(name, now)
@@ -284,7 +286,7 @@
     def _make_view(
         self, service: models.Service, now: float
     ) -> "_ServiceView":
-        """Return what may be chosen now, for all that wait."""
+        """Return the endpoints that waiting requests may use now."""
         endpoints = self._cluster_state.list_endpoints(service.name)
         sample_size = selection.count_candidates(
             len(endpoints), self._instance_count
@@ -297,9 +299,9 @@
         )
         if owned_seconds is not None:
             sample_size = len(endpoints)
-            # One that has just become the owner does not know what the one
-            # before handed out in this second, and one without a majority
-            # in reach may not be the only one.
+            # A new owner does not know which leases its predecessor granted
+            # within the current window, and an owner that does not reach a
+            # majority may not be the only one.
             if (
                 owned_seconds > cold_module.WINDOW_SECONDS
                 and self._is_majority
@@ -318,7 +320,7 @@
         )
 
     def _estimate_first_event(self, work: models.Work, service: str) -> float:
-        """Return the time from a send to the first event, seconds."""
+        """Return the expected time from send to first event, seconds."""
         if not work.prompt_tokens:
             return 0.0
         profile = self._board.profiles.get(service)
@@ -376,9 +378,9 @@
         listed = self._cluster_state.list_endpoints(service)
         code = errors.Code.OVERLOADED if listed else errors.Code.NO_ENDPOINT
         left = max(0.0, work.deadline - self._ticker.now())
-        # Most callers come back once: no sooner than a place may be free.
-        # Spread by chance: those that are refused in one burst would else
-        # come back in one.
+        # Most callers retry only once, so the retry time is not shorter than
+        # the expected wait. The random spread keeps callers that are refused
+        # in one burst from retrying in one burst.
         pause = max(pause, waiting.RETRY_SECONDS)
         longest = MAX_RETRY_SHARE * left
         return errors.Refusal(
@@ -391,13 +393,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _ServiceView:
-    """What the requests of a service may choose from at one moment.
+    """Endpoints that the requests of a service may use at one moment.
 
     Attributes:
-        endpoints: those with room; one that fills up is taken out.
-        listed: names of all, with those that have no room.
-        share: what this instance may send to cold endpoints.
-        sample_size: how many of them, drawn by chance, one choice looks at.
+        endpoints: endpoints with free capacity; one that fills up is
+            removed.
+        listed: names of all endpoints of the service, including full ones.
+        share: share of cold and limited endpoints that this instance may use.
+        sample_size: number of randomly drawn endpoints that one choice
+            compares.
     """
 
     endpoints: list[models.Endpoint]
--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -1,4 +1,4 @@
-"""A request to be carried, and what all requests of an instance share."""
+"""A request to be forwarded and the components that all requests share."""
 
 import collections.abc
 import dataclasses
@@ -19,19 +19,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Job:
-    """A request of a caller, checked and read whole.
+    """A validated request of a caller.
 
     Attributes:
-        work: what the decisions need.
-        service: where it goes.
+        work: properties that scheduling depends on.
+        service: service that the request is sent to.
         method: HTTP method.
-        target: path and query, as they came.
-        headers: headers by their names in lower case.
-        body: the body.
-        fingerprint: the same for all requests that ask for the same.
-        workspace: whose it is; None where no keys are used.
-        units: what it was charged with.
-        version: of the configuration that it was checked against.
+        target: path and query, unchanged.
+        headers: headers by lower-case name.
+        body: the complete body.
+        fingerprint: hash that is equal for requests with equal content.
+        workspace: workspace of the caller; None if no API keys are in use.
+        units: units charged to the workspace's limit.
+        version: version of the configuration used for validation.
     """
 
     work: models.Work
@@ -47,20 +47,20 @@
 
 
 class RelayContext:
-    """What all requests of an instance share.
+    """Components shared by all requests of an instance.
 
     Args:
-        cluster_state: what is in force.
-        dispatcher: finds places.
-        board: loads and paces.
-        health: which endpoints answer.
-        limits: what endpoints in need have said they take.
-        suspects: requests under which endpoints ended.
+        cluster_state: current configuration and endpoints.
+        dispatcher: reserves endpoint capacity.
+        board: loads and paces of endpoints.
+        health: health of endpoints.
+        limits: rate limits announced by endpoints.
+        suspects: requests that coincided with terminated endpoints.
         ticker: the clock.
-        log: where decisions are told.
-        counts: get what happened.
-        get_retry_budget: returns the budget of repeats of a service.
-        count_instances: returns how many instances there may be.
+        log: the event log.
+        counts: counters for the metrics.
+        get_retry_budget: returns the retry budget of a service.
+        count_instances: returns the number of known instances.
     """
 
     def __init__(
--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -1,4 +1,4 @@
-"""Asks the owner of endpoints for places, and gives them back."""
+"""Requests leases of endpoint capacity from owners and returns them."""
 
 import dataclasses
 import random
@@ -17,26 +17,26 @@
 from citronport.scheduler.direct import waiting
 
 ANSWER_TIMEOUT_SECONDS = 0.06
-"""How long an answer may stay out: two links of a millisecond, and an owner
-that reads a configuration of a thousand routes meanwhile."""
+"""Time to wait for an answer. It covers two links of a millisecond each and an
+owner that is parsing a configuration of a thousand routes."""
 
 QUEUED_ASK_INTERVAL_SECONDS = 0.4
-"""Pause between two questions for a request that waits, two objectives of
-0.3 to 0.8 s at most. An owner that died shows by it, and a lost answer is
-sent again; at 0.15 s the questions of 300 waiting requests kept an owner
-busier than its work."""
+"""Interval at which the lease request of a queued request is repeated; a
+request waits for at most two objectives of 0.3 to 0.8 s. Repeats detect a dead
+owner and recover lost answers. At an interval of 0.15 s, the repeats of 300
+waiting requests took an owner more time than its other work."""
 
 MAX_UNANSWERED = 2
-"""Questions without an answer after which an owner is passed over: one is
-lost now and then, two in a row hardly ever."""
+"""Unanswered lease requests after which an owner counts as unresponsive. One
+is lost occasionally, two in a row hardly ever."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NoCapacity:
-    """The request waited at the owner as long as it may, or would.
+    """The owner has no capacity within the request's maximum wait.
 
     Attributes:
-        retry_seconds: seconds after which it may find a place; 0 if not known.
+        retry_seconds: time after which capacity is expected; 0 if unknown.
     """
 
     retry_seconds: float = 0.0
@@ -46,15 +46,15 @@
 
 
 class LeaseClient:
-    """Asks for places on behalf of the requests of this instance.
+    """Requests leases for the requests of this instance.
 
     Args:
         own: name of this instance.
-        owners: who hands out what.
-        board: paces and leased requests.
-        tell: sends a message to an instance, named.
+        owners: owners of the endpoints.
+        board: paces of endpoints and leased requests.
+        tell: sends a message to the named instance.
         ticker: the clock.
-        log: where owners that do not answer are told.
+        log: the event log.
     """
 
     def __init__(
@@ -73,21 +73,22 @@
         self._ticker = ticker
         self._log = log
         self._pending: dict[str, gevent_queue.SimpleQueue] = {}
-        # Of each lease the service and who granted it.
+        # Service and granting owner of each lease, by request and endpoint.
         self._grants: dict[tuple[str, str], tuple[str, str]] = {}
 
     def count_waiting(self) -> int:
-        """Return how many requests wait at an owner."""
+        """Return the number of requests that wait for an owner."""
         return len(self._pending)
 
     def acquire(
         self, work: models.Work, service: str, tried: frozenset[str]
     ) -> Answer | None:
-        """Return a place for a request; wait for one if need be.
+        """Return a lease for a request; wait for one if necessary.
 
         Returns:
-            None if this instance has to decide by itself: it owns the
-            endpoints, nobody does, or the owner does not answer.
+            None if this instance has to choose an endpoint by itself: it
+            owns the endpoints, nobody does, or the owner does not answer or
+            declines.
         """
         owner = self._choose_owner(service)
         if owner is None or owner == self._own:
@@ -103,13 +104,13 @@
                 key = (work.request_id, found.endpoint)
                 self._grants[key] = (service, owner)
             else:
-                # It may stand in the owner's queue, or hold a place there
-                # of which the news got lost.
+                # The request may still be in the owner's queue, or hold a
+                # lease whose grant message got lost.
                 self._tell(owner, self._make_ended(work.request_id, ""))
         return found
 
     def handle_answer(self, answer: messages.Leasing) -> None:
-        """Take an owner's answer."""
+        """Handle an answer of an owner."""
         pending = self._pending.get(answer.request)
         if pending is not None:
             pending.put(answer)
@@ -117,14 +118,15 @@
             isinstance(answer, messages.Granted)
             and (answer.request, answer.endpoint) not in self._grants
         ):
-            # Its caller has left, or it went elsewhere meanwhile.
+            # The caller has disconnected, or the request was sent elsewhere
+            # in the meantime.
             self._tell(
                 answer.instance,
                 self._make_ended(answer.request, answer.endpoint),
             )
 
     def report_first_event(self, request_id: str, endpoint: str) -> None:
-        """Tell the owner of a request's first event."""
+        """Report the first event of a request to the owner."""
         grant = self._grants.get((request_id, endpoint))
         if grant is None:
             return
@@ -135,7 +137,7 @@
             self._tell(owner, begun)
 
     def release(self, endpoint: str, run: runs.Run) -> None:
-        """Give a place back, with what was seen of the endpoint."""
+        """Return a lease and report how the endpoint performed."""
         self._board.note_lease_end(endpoint, run.request_id)
         grant = self._grants.pop((run.request_id, endpoint), None)
         if grant is None:
@@ -145,7 +147,7 @@
             self._tell(owner, ended)
 
     def renew(self) -> None:
-        """Tell all owners what this instance holds of them."""
+        """Tell each owner which of its leases this instance holds."""
         now = self._ticker.now()
         held: dict[str, list[tuple[str, str, int]]] = {}
         for endpoint, run in self._board.list_leased():
@@ -197,8 +199,8 @@
                     timeout=min(ANSWER_TIMEOUT_SECONDS, end - now)
                 )
             except gevent_queue.Empty:
-                # A wait that the end of the request's patience cut short
-                # says nothing of the owner.
+                # If the request's maximum wait ended before the answer
+                # timeout, the missing answer says nothing about the owner.
                 unanswered += end - now >= ANSWER_TIMEOUT_SECONDS
                 if unanswered >= MAX_UNANSWERED:
                     self._mark_unresponsive(owner)
@@ -221,7 +223,7 @@
     def _wait_in_queue(
         self, answers: gevent_queue.SimpleQueue, end: float
     ) -> Answer | None:
-        """Wait in the owner's queue until it is time to ask again."""
+        """Wait in the owner's queue until the next repeat is due."""
         until = min(end, self._ticker.now() + QUEUED_ASK_INTERVAL_SECONDS)
         while (left := until - self._ticker.now()) > 0:
             try:
--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -1,4 +1,4 @@
-"""Hands out places at the endpoints that this instance owns."""
+"""Grants leases of capacity at the endpoints that this instance owns."""
 
 import collections.abc
 import dataclasses
@@ -19,19 +19,19 @@
 LOG = "lessor:"
 
 REMOTE_REQUEST_EXPIRY_SECONDS = 1.4
-"""How long a request waits whose instance does not ask again: it asks every
-0.4 s, and three questions in a row hardly get lost."""
+"""How long a request stays queued without a repeat by its instance. Instances
+repeat every 0.4 s, and three messages in a row are hardly ever lost."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _RemoteRequest:
-    """A request of another instance; the handle of its waiter.
+    """A request of another instance; serves as the handle of its waiter.
 
     Attributes:
-        ask: the question.
-        waiter: its place in the queue; None until it stands there.
-        last_asked: clock time of the newest question, seconds.
-        grant: called with the place that it gets.
+        ask: the lease request.
+        last_asked: clock time of the newest lease request, seconds.
+        grant: called with the reservation.
+        waiter: the queue entry; None before the request is queued.
     """
 
     ask: messages.Ask
@@ -42,21 +42,21 @@
     waiter: waiting.Waiter | None = None
 
     def set(self, reservation: dispatcher_module.Reservation) -> None:
-        """Take a place, as the queue's match gives it."""
+        """Accept a reservation; called by the queue's matching."""
         self.grant(self, reservation)
 
 
 class LeaseServer:
-    """Answers the questions of other instances for places.
+    """Answers lease requests of other instances.
 
     Args:
         own: name of this instance.
-        dispatcher: finds places and keeps who waits for one.
-        leases: what was handed out.
-        cluster_state: what is in force.
+        dispatcher: reserves capacity and queues requests.
+        leases: granted leases.
+        cluster_state: current configuration and endpoints.
         board: paces of endpoints.
-        health: which endpoints answer.
-        tell: sends a message to an instance, named.
+        health: health of endpoints.
+        tell: sends a message to the named instance.
         ticker: the clock.
     """
 
@@ -83,11 +83,11 @@
         self._granted: dict[str, messages.Granted] = {}
 
     def handle_ask(self, ask: messages.Ask) -> None:
-        """Answer a question for a place."""
+        """Answer a lease request."""
         now = self._ticker.now()
         granted = self._granted.get(ask.request)
         if granted is not None and granted.endpoint not in ask.tried:
-            # The answer to an earlier question got lost.
+            # The grant that answered an earlier repeat got lost.
             self._tell(ask.instance, granted)
             return
         remote = self._remote_requests.get(ask.request)
@@ -109,11 +109,11 @@
             self._tell(ask.instance, queued)
 
     def handle_begun(self, begun: messages.Begun) -> None:
-        """Note the first event of a request."""
+        """Record the first event of a leased request."""
         self._leases.begin(begun.request, begun.endpoint, self._ticker.now())
 
     def handle_ended(self, ended: messages.Ended) -> None:
-        """Take a place back, or a request out of the queue."""
+        """End a lease, or remove a request from the queue."""
         now = self._ticker.now()
         if not ended.endpoint:
             self._cancel(ended.request)
@@ -124,7 +124,7 @@
         self._dispatcher.schedule_match()
 
     def handle_holding(self, holding: messages.Holding) -> None:
-        """Take what an instance holds of this one."""
+        """Renew the leases that an instance holds."""
         held = [
             leases_module.Held(
                 request_id=request, endpoint=endpoint, unread=unread
@@ -135,7 +135,7 @@
         self._dispatcher.schedule_match()
 
     def sweep(self) -> None:
-        """Drop what nobody asks for or renews any more."""
+        """Remove requests and leases that are no longer renewed."""
         now = self._ticker.now()
         for request, remote in list(self._remote_requests.items()):
             if now - remote.last_asked > REMOTE_REQUEST_EXPIRY_SECONDS:
@@ -218,7 +218,8 @@
 
     def _decline(self, ask: messages.Ask) -> None:
         logging.warning(
-            "%s %s asks for route %s, which is not known here.",
+            "%s declined lease request of %s for route %s: the route is"
+            " unknown or its service has no endpoints.",
             LOG,
             ask.instance,
             ask.route,
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -1,4 +1,4 @@
-"""Both sides of leasing: places asked for and places handed out."""
+"""Both sides of leasing: requested leases and granted leases."""
 
 import collections.abc
 
@@ -19,26 +19,26 @@
 
 
 class Leasing:
-    """Hands messages on leases to the side that they are for.
+    """Passes leasing messages to the lease client or the lease server.
 
     Attributes:
-        owners: who hands out what.
-        lease_client: asks for places.
-        lease_server: hands them out.
-        leases: what was handed out.
+        owners: owners of the endpoints.
+        lease_client: requests leases from other instances.
+        lease_server: grants leases to other instances.
+        leases: granted leases.
 
     Args:
         own: name of this instance.
-        capacity: processor cores that it has.
+        capacity: processor cores of this instance.
         members: the other instances.
-        cluster_state: what is in force.
-        dispatcher: finds places; it leases from now on.
-        board: loads and paces.
-        health: which endpoints answer.
-        is_ready: whether this instance may own endpoints.
-        tell: sends a message to an instance, named.
+        cluster_state: current configuration and endpoints.
+        dispatcher: reserves capacity; leasing is enabled in it.
+        board: loads and paces of endpoints.
+        health: health of endpoints.
+        is_ready: returns whether this instance may own endpoints.
+        tell: sends a message to the named instance.
         ticker: the clock.
-        log: where decisions are told.
+        log: the event log.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         dispatcher.lease_client = self.lease_client
 
     def handle(self, message: messages.Leasing) -> None:
-        """Take a message of another instance, or one's own."""
+        """Handle a message of another instance or of this one."""
         match message:
             case messages.Ask():
                 self.lease_server.handle_ask(message)
@@ -102,14 +102,14 @@
                 self.lease_client.handle_answer(message)
 
     def _on_owner_change(self) -> None:
-        # A new owner takes full endpoints for idle until it hears what
-        # runs there, and hands out their places once more. Each instance
-        # tells it with its first question, and not up to half a second
-        # later.
+        # Until a new owner learns what runs at its endpoints, it takes full
+        # ones for idle and grants their capacity again. Each instance
+        # therefore reports its leases as soon as it sees the new owner, and
+        # not with the next renewal, up to half a second later.
         gevent.spawn(self.lease_client.renew)
 
     def run_renewal_loop(self) -> None:
-        """Tell owners what this instance holds, for ever."""
+        """Renew the leases of this instance at a fixed interval, forever."""
         while True:
             self._ticker.sleep(leases_module.RENEW_SECONDS)
             self.lease_client.renew()
--- a/citronport/relay/limits.py
+++ b/citronport/relay/limits.py
@@ -1,4 +1,4 @@
-"""Takes the limits that endpoints name in their answers."""
+"""Records the rate limits that endpoints announce in their responses."""
 
 import result
 
@@ -12,12 +12,12 @@
 def record_limit(
     context: jobs.RelayContext, endpoint: str, text: str | None
 ) -> None:
-    """Take what an endpoint's answer says of its limit.
+    """Record the rate limit in an endpoint's response.
 
     Args:
-        context: shared by all requests.
-        endpoint: which answered.
-        text: the limit as it came; None if none is named.
+        context: components shared by all requests.
+        endpoint: name of the endpoint that answered.
+        text: unparsed header value; None if the response names no limit.
     """
     rate = None
     if text is not None:
--- a/citronport/relay/owners.py
+++ b/citronport/relay/owners.py
@@ -1,4 +1,7 @@
-"""Who hands out the places of which endpoints, as this instance sees it."""
+"""Determines which instance owns which endpoints, as seen from this one.
+
+The owner of an endpoint grants leases of its capacity to all instances.
+"""
 
 import collections.abc
 
@@ -9,25 +12,25 @@
 from citronport.scheduler.direct import ownership
 
 CANDIDATES_CACHE_SECONDS = 0.2
-"""Age up to which a list of the candidates is used again: reports come
-every 0.75 s in a fleet of 60, and each request needs the list."""
+"""How long the list of candidates is cached. Each request needs the list, and
+in a fleet of 60 instances reports arrive every 0.75 s."""
 
 UNRESPONSIVE_SECONDS = 1.5
-"""How long an owner that does not answer is passed over. It is out of reach
-for all after about as long, if it is dead."""
+"""How long an unresponsive owner is no candidate. If it is dead, all instances
+see it as unreachable after about the same time."""
 
 
 class Owners:
-    """Names the owner of each pool of endpoints.
+    """Finds the owner of each pool of endpoints.
 
     Args:
         own: name of this instance.
         capacity: processor cores of this instance.
         members: the other instances.
-        cluster_state: which endpoints there are.
-        is_ready: whether this instance may own endpoints.
-        log: where changes of owners are told.
-        on_change: called when an owner has changed.
+        cluster_state: source of the listed endpoints.
+        is_ready: returns whether this instance may own endpoints.
+        log: the event log.
+        on_change: called after an owner has changed.
     """
 
     def __init__(
@@ -55,7 +58,10 @@
         self._since: dict[ownership.Pool, float] = {}
 
     def find_owner(self, pool: ownership.Pool, now: float) -> str | None:
-        """Return the owner of a pool; None if each decides for itself."""
+        """Return the owner of a pool; None without candidates.
+
+        Without an owner, each instance chooses endpoints by itself.
+        """
         self._refresh_candidates(now)
         if pool not in self._owners:
             owner = ownership.choose_owner(pool, self._candidates)
@@ -82,7 +88,7 @@
         """Return how long this instance has owned endpoints of a service.
 
         Returns:
-            The time in seconds; None if it owns none.
+            The longest time over all pools, seconds; None if it owns none.
         """
         longest = None
         for number in range(self.count_pools(service)):
@@ -92,7 +98,7 @@
         return longest
 
     def mark_unresponsive(self, instance: str, now: float) -> None:
-        """Pass over an owner that does not answer, for a while."""
+        """Exclude an unresponsive owner from the candidates for a while."""
         self._unresponsive[instance] = now + UNRESPONSIVE_SECONDS
         self._refreshed = float("-inf")
 
--- a/citronport/relay/progress.py
+++ b/citronport/relay/progress.py
@@ -1,4 +1,4 @@
-"""How far a request has got; told in log lines and counted."""
+"""Progress of a request, as written to the event log and the metrics."""
 
 import dataclasses
 
@@ -10,18 +10,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What has become of one request so far.
+    """State of one request so far.
 
     Attributes:
-        attempts: sends to endpoints, those that did not come about too.
-        possible_runs: endpoints that have or may have run it.
+        attempts: sends to endpoints, including failed connects.
+        possible_runs: endpoints that have run the request or may have.
         waited: time in the queue, seconds.
-        endpoint: the newest one chosen.
-        first: time to the first byte of the answer; -1 before.
+        endpoint: name of the endpoint chosen last.
+        first: time to the first byte of the response, seconds; -1 before.
         longest: longest pause of the stream, seconds.
-        status: HTTP status sent; 0 before.
-        code: numbered result code; 0 for an endpoint's own answer.
-        outcome: "answered", "refused", "cut", or "left" until one of these.
+        status: HTTP status sent to the caller; 0 before.
+        code: result code of the refusal; 0 for an endpoint's response.
+        outcome: "answered", "refused" or "cut"; until then "left", which
+            stays if the caller disconnects.
     """
 
     attempts: int = 0
@@ -36,7 +37,7 @@
 
     @property
     def is_known_not_run(self) -> bool:
-        """Whether the caller was told that its request has not run."""
+        """Whether the refusal told the caller that its request did not run."""
         if self.outcome != "refused":
             return False
         meaning = errors.MEANINGS[errors.Code(self.code)]
@@ -49,7 +50,7 @@
     progress: Progress,
     reservation: dispatcher_module.Reservation,
 ) -> None:
-    """Tell that a request goes to an endpoint now, and why there."""
+    """Log and count a send, with the data that the endpoint was chosen by."""
     context.counts.sends["sent"] += 1
     context.counts.leased += reservation.leased
     context.log.write(
@@ -80,16 +81,16 @@
     *,
     cut: bool = False,
 ) -> None:
-    """Tell that a send brought no usable answer.
+    """Log and count a send without a usable response.
 
     Args:
-        context: shared by all requests.
+        context: components shared by all requests.
         job: the request.
-        progress: how far it has got.
-        endpoint: where it was sent.
+        progress: state of the request.
+        endpoint: name of the endpoint that it was sent to.
         what: what happened.
-        ran: "yes", "no" or "maybe".
-        cut: whether the endpoint's connection broke under it.
+        ran: whether the request ran: "yes", "no" or "maybe".
+        cut: whether the connection broke while the request was running.
     """
     context.counts.cuts += cut
     context.counts.sends[f"failed, ran: {ran}"] += 1
@@ -109,7 +110,7 @@
 def record_end(
     context: jobs.RelayContext, job: jobs.Job, progress: Progress
 ) -> None:
-    """Tell and count how a request ended."""
+    """Log and count the end of a request."""
     _count_end(context, job, progress)
     work = job.work
     context.log.write(
--- a/citronport/relay/refusals.py
+++ b/citronport/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals in the form that callers on the platform read."""
+"""Renders refusals in the format that the platform's callers expect."""
 
 from citronport import errors
 from citronport.callers import replies
@@ -14,9 +14,9 @@
     """Answer with a refusal.
 
     Args:
-        start_response: of WSGI.
-        refusal: what to tell; its pause may be parts of a second.
-        close: whether the connection can not be used again.
+        start_response: WSGI function that starts the response.
+        refusal: the refusal; its retry time may be fractional.
+        close: whether the connection must be closed after the response.
     """
     status, headers, data = replies.render_refusal(refusal)
     headers = [h for h in headers if h[0].lower() != requests.RETRY_AFTER]
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -1,4 +1,4 @@
-"""Carries one request to endpoints and its answer back to the caller."""
+"""Forwards one request to an endpoint and its response to the caller."""
 
 import collections.abc
 
@@ -21,24 +21,25 @@
 from citronport.scheduler.direct import suspects
 
 MAX_SENDS = 4
-"""Endpoints that may turn one request away before it is refused."""
+"""Highest number of sends of one request, including failed connects."""
 
 BUFFERED_BYTES = 65536
-"""Answers of plain services up to this size are read whole before the
-caller gets a byte, so that one that breaks can still be answered truly."""
+"""Responses of plain services up to this size are read in full before the
+caller gets a byte, so that a response that breaks off can still be replaced
+by a retry or an error."""
 
 EVENT_END = b"\n\n"
 
 MIN_SILENCE_SECONDS = 1.0
-"""A caller that leaves after so long without a first event speaks against
-the endpoint; one that leaves sooner had its own reasons."""
+"""Time without a first event after which a caller's disconnect counts as a
+failure of the endpoint. An earlier disconnect says nothing about it."""
 
 
 class Sender:
-    """One request on its way.
+    """Forwards one request.
 
     Args:
-        context: shared by all requests.
+        context: components shared by all requests.
         job: the request.
     """
 
@@ -56,10 +57,10 @@
     def answer(
         self, start_response: replies.StartResponse
     ) -> collections.abc.Iterator[bytes]:
-        """Write out the answer as it comes.
+        """Yield the response as it arrives.
 
         Raises:
-            StreamCutError: the answer broke after its first byte.
+            StreamCutError: the response broke off after its first byte.
         """
         left = self._work.deadline - self._context.ticker.now()
         timeout = gevent.Timeout(max(0.0, left))
@@ -97,7 +98,7 @@
             return
 
     def _send_until_answered(self) -> requests.EndpointAnswer | errors.Refusal:
-        """Send until an endpoint answers or no send is left."""
+        """Send until an endpoint answers or no further send is allowed."""
         while True:
             self._release()
             refusal = self._reserve()
@@ -119,7 +120,7 @@
     def _handle_failure(
         self, outcome: upstream.Failure
     ) -> errors.Refusal | None:
-        """Return None if the request may go to one more endpoint."""
+        """Return None if another endpoint may be tried, else a refusal."""
         match outcome:
             case upstream.Unreachable(reason=reason):
                 self._record_unreachable(reason)
@@ -128,11 +129,11 @@
             case upstream.Barred():
                 return self._refuse_barred()
             case upstream.Replaced():
-                # Load: endpoints that died and were started anew, while
-                # the list still names the old ones. Harm: one that is
-                # gone looks idle and takes each request that finds the
-                # others full; it counts as out of reach at once.
-                self._record_unreachable("another endpoint answers there")
+                # After endpoints crashed and restarted, the list may still
+                # name the old ones. An endpoint that is gone looks idle
+                # and would draw each request that finds the others full,
+                # so it counts as unreachable at once.
+                self._record_unreachable("another endpoint answered")
                 if not self._may_send_again():
                     return self._refuse_overloaded()
             case upstream.NotRun(answer=answer):
@@ -157,8 +158,8 @@
         self.progress.waited += self._context.ticker.now() - began
         if isinstance(found, errors.Refusal):
             if self.progress.possible_runs:
-                # Another endpoint may have run it: "not run" would be a
-                # lie, on which the caller would send it again.
+                # Another endpoint may have run the request. A "not run"
+                # response would be false and make the caller send it again.
                 return errors.Refusal(code=errors.Code.ENDPOINT_LOST)
             return found
         self._reservation = found
@@ -177,9 +178,9 @@
         if unreachable is not None:
             return unreachable
         now = self._context.ticker.now()
-        # While the connection came about, or the process was stopped, the
-        # endpoint may have begun to leave. Nothing waits between this look
-        # and the send, so that no old view is acted on.
+        # The endpoint may have started to leave while the connection was
+        # established or the process was suspended. There is no wait between
+        # this check and the send, so the check is not outdated.
         if not self._context.cluster_state.may_use(endpoint):
             return upstream.Unreachable(reason="no longer in use")
         if self._is_barred():
@@ -253,8 +254,9 @@
         assert self._exchange is not None
         rest = b""
         while data := self._exchange.read():
-            # Whole events only: one that breaks off could not be told from
-            # the next, be it of this endpoint or of the one that goes on.
+            # Forward complete events only. A partial event would run into
+            # the next one, be it from this endpoint or from the one that
+            # resumes the stream.
             events, rest = replies.split_events(rest + data)
             if not events:
                 continue
@@ -313,8 +315,8 @@
         self._release()
         self.progress.code = int(refusal.code)
         if self._is_started:
-            # The status is out already: only an unclean end tells the
-            # caller that its answer is not whole.
+            # The status has been sent; only an unclean end of the connection
+            # tells the caller that its response is incomplete.
             self.progress.outcome = "cut"
             raise replies.StreamCutError(refusal.code.name)
         self.progress.outcome = "refused"
@@ -324,17 +326,18 @@
     def _refuse_resumed(
         self, answer: requests.EndpointAnswer
     ) -> errors.Refusal:
-        # The caller has the head of a success and part of a stream: the
-        # body of a failure behind them would look like its whole end.
+        # The caller has a success status and part of a stream. The body of
+        # an error response after it would look like its regular end.
         self._record_failure(
             f"status {answer.status} to a resumed stream", "yes"
         )
         return errors.Refusal(code=errors.Code.ENDPOINT_LOST)
 
     def _should_try_another(self, answer: requests.EndpointAnswer) -> bool:
-        # Load: an endpoint that fails part of its requests while it looks
-        # well. Harm: a long prompt is lost to a failure that came before
-        # its first event. Whatever may run twice goes elsewhere.
+        # An endpoint may fail some of its requests and still look healthy;
+        # a request with a long prompt would then be lost to a failure before
+        # its first event. Any request that may run twice is retried at
+        # another endpoint.
         self.progress.possible_runs += 1
         if answer.status < 500 or not self._may_run_again():
             return False
@@ -342,7 +345,7 @@
         return True
 
     def _may_run_again(self) -> bool:
-        """Return whether a request that may have run may go elsewhere."""
+        """Return whether a request that may have run may be retried."""
         route = self._work.route
         if route.repeat == models.Repeat.NON_IDEMPOTENT:
             return False
@@ -462,15 +465,15 @@
         )
 
     def _record_silence(self, *, late: bool) -> None:
-        # Load: an endpoint that takes requests and never answers. Harm: it
-        # looks idle and well, and draws more. Its callers' leaving is the
-        # only sign.
+        # An endpoint that accepts requests and never answers looks idle and
+        # healthy, and attracts more. Callers that disconnect are the only
+        # sign of its failure.
         reservation = self._reservation
         if reservation is None or reservation.run.first is not None:
             return
         now = self._context.ticker.now()
         if late or now - reservation.run.sent >= MIN_SILENCE_SECONDS:
-            # The reset of an endpoint that ended may be lost on its way.
+            # The reset from an endpoint that terminated may have been lost.
             gone = (
                 reservation.endpoint.name
                 not in self._context.cluster_state.endpoints
@@ -492,12 +495,12 @@
 
 
 def is_success(answer: requests.EndpointAnswer) -> bool:
-    """Return whether an endpoint answered with a success."""
+    """Return whether an endpoint answered with a success status."""
     return 200 <= answer.status < 300
 
 
 def find_last_event_id(events: bytes) -> str | None:
-    """Return the id of the last of some whole events, if it has one."""
+    """Return the last event id in a series of complete events, if any."""
     at = events.rfind(b"\nid:")
     if at >= 0:
         start = at + len(b"\nid:")
--- a/citronport/relay/upstream.py
+++ b/citronport/relay/upstream.py
@@ -1,4 +1,4 @@
-"""One request to an endpoint, on a connection of its own."""
+"""One request to an endpoint over a dedicated connection."""
 
 import dataclasses
 
@@ -8,27 +8,28 @@
 from citronport.platform import requests
 
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""How long a connection may take to come about. Endpoints are about two
-milliseconds away; a lost first packet is sent again after a second, and
-another endpoint has answered by then."""
+"""Connect timeout. Endpoints are about two milliseconds away. A lost first
+packet is retransmitted after a second, by which time another endpoint would
+have answered."""
 
 SINGLE_WRITE_BYTES = 65536
-"""Bodies up to this size are sent in one go."""
+"""Requests up to this size are sent in one write. While a larger one is sent,
+the connection is watched for an early response."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unreachable:
-    """No connection came about: not one byte was sent."""
+    """No connection was established and no byte was sent."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Broken:
-    """No answer that can be used came; the request may have run.
+    """No usable response arrived; the request may have run.
 
     Attributes:
-        reason: what came instead.
+        reason: what happened instead.
         cut: whether the connection broke.
     """
 
@@ -38,26 +39,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotRun:
-    """The endpoint said that it did not run the request."""
+    """The endpoint reported that it did not run the request."""
 
     answer: requests.EndpointAnswer
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Replaced:
-    """Another endpoint answers at the address; it did not run the request."""
+    """Another endpoint has the address now; it did not run the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Answered:
-    """The head of an answer came; its body can be read."""
+    """The head of a response arrived; its body can be read."""
 
     answer: requests.EndpointAnswer
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Barred:
-    """The request was barred while its connection came about."""
+    """The request was barred while its connection was established."""
 
 
 Failure = Unreachable | Broken | NotRun | Replaced | Barred
@@ -65,11 +66,11 @@
 
 
 class Exchange:
-    """A request on its way; ``close`` ends it at the endpoint too.
+    """A request in progress; ``close`` also aborts it at the endpoint.
 
     Args:
         address: "ip:port" of the endpoint.
-        request_id: id that the answer has to bear.
+        request_id: id that the response must carry.
     """
 
     def __init__(self, address: str, request_id: str) -> None:
@@ -88,7 +89,7 @@
         return None
 
     def send(self, request: bytes) -> Outcome:
-        """Send the request and wait for the head of its answer."""
+        """Send the request and wait for the head of its response."""
         conn = self._connection
         assert conn is not None
         try:
@@ -110,17 +111,17 @@
         return Answered(answer=answer)
 
     def read(self) -> bytes:
-        """Wait for the next piece of the body; nothing at its end.
+        """Wait for the next piece of the body; empty at its end.
 
         Raises:
-            OSError: the connection broke before the end.
-            HTTPParseError: what came is no HTTP.
+            OSError: the connection broke before the end of the body.
+            HTTPParseError: the data is not valid HTTP.
         """
         assert self._connection is not None
         return self._connection.read()
 
     def close(self) -> None:
-        """Close the connection; the endpoint drops what it still does."""
+        """Close the connection; the endpoint aborts the request."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -130,8 +131,9 @@
             try:
                 conn.send(request)
             except OSError:
-                # An endpoint may have answered and closed before it read
-                # all of the request; the answer can still be read.
+                # The endpoint may have answered and closed the connection
+                # before it read the whole request. The response can still
+                # be read.
                 if not conn.has_input():
                     raise
             return
