--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes of the platform's store and of an endpoint."""
+"""Fakes of the platform's store and of an endpoint."""
 
 import base64
 import json
@@ -11,7 +11,7 @@
 
 
 def read_request(file):
-    """Return method, target, headers and body of a request, or None."""
+    """Return method, target, headers and body of a request, if any."""
     line = file.readline().decode()
     if not line.strip():
         return None
@@ -25,14 +25,14 @@
 
 
 def render(status, body=b"", **headers):
-    """Return the bytes of an answer with a length."""
+    """Return the bytes of a response with a Content-Length header."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()]
     return "\r\n".join((*lines, "", "")).encode() + body
 
 
 def chunk(data):
-    """Return one chunk of a body."""
+    """Return one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -42,10 +42,10 @@
 
 
 class Server:
-    """Listens on a free port of this machine.
+    """A server on a free local port.
 
     Args:
-        test: it is stopped at this test's end.
+        test: the test at whose end the server is stopped.
         serve: called with socket and file of each connection.
     """
 
@@ -61,7 +61,7 @@
         try:
             self._serve(sock, file)
         except OSError:
-            # The other side has left, which tests do on purpose.
+            # Tests close connections early on purpose.
             pass
         finally:
             file.close()
@@ -69,11 +69,11 @@
 
 
 class Store(Server):
-    """The platform's store, as far as an instance reads it.
+    """The part of the platform's store that an instance reads.
 
     Attributes:
-        mode: "well", "silent", "stalled" (in the middle of an answer),
-            "busy", "garbage" or "compacted" (once).
+        mode: "well", "silent", "stalled" (in the middle of a response),
+            "busy", "garbage" or "compacted" (for one call).
     """
 
     def __init__(self, test):
@@ -161,9 +161,9 @@
     """An endpoint that answers each request with the next script.
 
     Attributes:
-        scripts: functions of socket, headers and body, one for each
-            request; the last one serves all further requests.
-        requests: head and body of each request that came.
+        scripts: functions of socket and headers, one for each request; the
+            last one serves all further requests.
+        requests: method, target, headers and body of each received request.
     """
 
     def __init__(self, test, *scripts):
@@ -195,7 +195,7 @@
 
 
 def stream(*events, whole=True, pause=0.0):
-    """Return a script that streams events; it breaks off if not whole."""
+    """Return a script that streams events; it breaks off unless whole."""
 
     def script(sock, headers):
         sock.sendall(
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -1,4 +1,4 @@
-"""What callers get from an instance that has only just started."""
+"""Responses to callers from an instance that has just started."""
 
 import gevent
 import result
@@ -17,23 +17,23 @@
 
 
 class Body:
-    """A request's body, read whole."""
+    """An empty request body."""
 
     def read_whole(self):
-        """Return nothing."""
+        """Return an empty body."""
         return result.Ok(b"")
 
 
 class StartTest(testtools.TestCase):
-    """All instances have lost power and start while the store is away.
+    """Restart of all instances after a power loss, with the store unavailable.
 
-    Callers come to one that knows no configuration. Those that it can
-    serve a moment later wait for that; the others hear soon that their
-    request has not run, and come back once more.
+    A request that arrives before the first configuration waits briefly for
+    it. If the wait is too long, the caller is told early that the request
+    has not run, so that it still has time for its one retry.
     """
 
     def setUp(self):
-        """Make an instance that knows nothing."""
+        """Create an application without a configuration."""
         super().setUp()
         self.clock = clock.ManualClock()
         self.peers_known_at = 0.0
@@ -65,7 +65,7 @@
         )
 
     def ask(self, patience):
-        """Ask for a path that no route has; return status and headers."""
+        """Request a path without a route; return status and headers."""
         environ = {
             "wsgi.input": Body(),
             "PATH_INFO": "/nowhere/",
@@ -86,7 +86,7 @@
         return seen[0]
 
     def configure_at(self, seconds):
-        """Have the first configuration come at a time."""
+        """Let the first configuration arrive at a clock time."""
 
         def wait():
             while self.clock.now() < seconds:
@@ -99,14 +99,14 @@
         gevent.sleep(0)
 
     def test_waits_for_the_first_configuration(self):
-        """A request that comes 0.5 s early is looked at, not refused."""
+        """A request 0.5 s before the configuration waits and is routed."""
         self.configure_at(0.5)
         status, _ = self.ask(4.0)
         self.assertEqual("404", status)
         self.assertLess(self.clock.now(), 0.6)
 
     def test_refused_early_enough_for_a_retry(self):
-        """A store that stays away: the caller keeps most of its time."""
+        """Without a configuration, the refusal leaves time for a retry."""
         status, headers = self.ask(2.0)
         self.assertEqual("503", status)
         self.assertLessEqual(
@@ -115,12 +115,12 @@
         self.assertIn("retry-after", headers)
 
     def test_never_waits_long(self):
-        """A patient caller is not kept for longer than a second or so."""
+        """A distant deadline does not extend the wait beyond its limit."""
         self.ask(15.0)
         self.assertLess(self.clock.now(), application.START_WAIT_SECONDS + 0.1)
 
     def test_waits_until_the_others_are_known(self):
-        """One that knows nobody sends to engines that are full already."""
+        """Guards against sends to full engines before peer discovery."""
         self.room.cluster_state.configuration = samples.make_configuration()
         self.peers_known_at = 0.4
         status, _ = self.ask(4.0)
@@ -128,7 +128,7 @@
         self.assertGreaterEqual(self.clock.now(), 0.4)
 
     def test_short_deadline_bounds_the_wait_for_the_others(self):
-        """A short wait is all that an urgent request can afford."""
+        """A request with a short deadline waits only a share of it."""
         self.room.cluster_state.configuration = samples.make_configuration()
         self.peers_known_at = 9.0
         status, _ = self.ask(1.0)
--- a/tests/relay/test_cluster_state.py
+++ b/tests/relay/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""What is in force, out of items of the store that may be wrong."""
+"""Decoding of the store's items, including invalid ones."""
 
 import json
 
@@ -15,10 +15,10 @@
 
 
 class ClusterStateTest(testtools.TestCase):
-    """Items in, typed state out."""
+    """Applies items and checks the decoded state."""
 
     def setUp(self):
-        """Make an empty world."""
+        """Create an empty cluster state."""
         super().setUp()
         self.cold = cold_module.ColdStarts()
         self.forgotten = []
@@ -47,23 +47,23 @@
         self.put(f"servers/{name}", entry, now)
 
     def list_names(self):
-        """Return the names of the endpoints that may be used."""
+        """Return the names of the endpoints that may get new work."""
         return sorted(e.name for e in self.cluster_state.list_endpoints("llm"))
 
     def test_version_never_goes_back(self):
-        """An older version that arrives late changes nothing."""
+        """An older version that arrives late is ignored."""
         self.configure(7)
         self.configure(5)
         self.assertEqual(7, self.cluster_state.configuration.version)
 
     def test_invalid_configuration_keeps_the_current_one(self):
-        """Callers go on by the last version that could be read."""
+        """The last valid version stays in use."""
         self.configure(7)
         self.put("op/config", {"version": 8})
         self.assertEqual(7, self.cluster_state.configuration.version)
 
     def test_invalid_entry_removes_the_endpoint(self):
-        """Another writer spoils an entry: the endpoint is not used."""
+        """An entry that becomes invalid takes its endpoint out of use."""
         self.put_endpoint("a")
         self.put_endpoint("b")
         self.put_endpoint("a", slots="many")
@@ -71,7 +71,7 @@
         self.assertEqual(["a"], self.forgotten)
 
     def test_leaving_and_evacuated_endpoints_get_nothing(self):
-        """Both are out at once; a data centre comes back whole."""
+        """Leaving and evacuation apply at once; evacuation is reversible."""
         self.put_endpoint("a")
         self.put_endpoint("b", zone="b")
         self.put("op/evacuate/b", {})
@@ -82,7 +82,7 @@
         self.assertEqual(["b"], self.list_names())
 
     def test_back_from_evacuation_is_cold(self):
-        """Its endpoints had no work for a while."""
+        """Endpoints without work during an evacuation count as cold."""
         self.configure(7)
         self.put_endpoint("a")
         self.put("op/evacuate/a", {}, now=5.0)
@@ -91,7 +91,10 @@
         self.assertFalse(self.cold.is_cold("a", 23.1))
 
     def test_new_start_is_cold(self):
-        """One that was listed at the start of this process is not."""
+        """A new start is cold; a changed entry of the same start is not.
+
+        Endpoints that are listed when this process starts are not cold.
+        """
         self.configure(7)
         self.put_endpoint("a", born=1)
         self.assertTrue(self.cold.is_cold("a", 1.0))
@@ -102,10 +105,11 @@
         self.assertEqual(["a"], self.forgotten)
 
     def test_lapsed_entry_is_used_for_a_grace_period(self):
-        """The store comes back without an entry that it let lapse.
+        """Guards against an empty endpoint list after an outage of the store.
 
-        Its endpoint lives and enters itself within two seconds. Callers
-        are served meanwhile; one that stays out is gone.
+        Entries of live endpoints expire in an outage, and the endpoints
+        enter themselves again within two seconds. Until then they stay in
+        use; an endpoint that does not return is removed.
         """
         self.put_endpoint("a")
         self.put_endpoint("b")
@@ -117,13 +121,13 @@
         self.assertEqual(["a"], self.list_names())
 
     def test_entry_removed_without_an_outage_is_gone_at_once(self):
-        """No outage, no doubt."""
+        """There is no grace period without a recent outage."""
         self.put_endpoint("a")
         self.put("servers/a", None, now=10.0)
         self.assertEqual([], self.list_names())
 
     def test_restarted_endpoint_invalidates_the_former_start(self):
-        """A place booked on the former start can't be used any more."""
+        """A reservation at the former start must not be used any more."""
         self.put_endpoint("a", born=1)
         before = self.cluster_state.endpoints["a"]
         self.put_endpoint("a", born=2)
--- a/tests/relay/test_crashing_request.py
+++ b/tests/relay/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""Requests under which endpoints end."""
+"""Requests that crash endpoints."""
 
 import time
 
@@ -8,23 +8,23 @@
 from tests.relay import instances
 
 STABLE_SECONDS = 3.0
-"""Time after the third end by which all instances know of the request."""
+"""Time after the third crash by which all instances know of the request."""
 
 CRASHES = 3
-"""Endpoints that a request may end before it counts as their cause."""
+"""Endpoints that a request may crash before it counts as the cause."""
 
 ALLOWED_SENDS = 3
-"""Sends of such a request to endpoints after that time."""
+"""Sends of such a request that are allowed after that time."""
 
 CRASHING = "/review/crashing"
 
 
 class CrashingEndpoint(fakes.Endpoint):
-    """An endpoint that one request ends; it starts again under a new name.
+    """An endpoint that one path crashes; it restarts under a new name.
 
     Args:
-        case: whose store lists it.
-        number: tells it from others.
+        case: the test case whose store lists the endpoint.
+        number: distinguishes the endpoint from others.
     """
 
     def __init__(self, case, number):
@@ -36,7 +36,7 @@
         self.register()
 
     def register(self):
-        """Enter a new start of this endpoint into the list."""
+        """Put an entry for a new start of the endpoint into the store."""
         self.starts += 1
         self.name = f"e{self.number}-{self.starts}"
         self.case.put_endpoint(self.name, address=self.address)
@@ -56,7 +56,7 @@
 
 
 class CrashingRequestTest(instances.InstanceCase):
-    """Two instances before endpoints that one request ends."""
+    """Two instances and four endpoints that one request crashes."""
 
     def setUp(self):
         """Start endpoints and instances."""
@@ -66,28 +66,28 @@
         self.hosts = [self.start(1), self.start(2)]
         for host in self.hosts:
             self.wait_for(
-                "meeting", lambda host=host: len(self.lookup(host)) == 2
+                "peer discovery", lambda host=host: len(self.lookup(host)) == 2
             )
         self.asked = 0
 
     def count_crashes(self):
-        """Return how many endpoints have ended."""
+        """Return the number of crashes of all endpoints."""
         return sum(e.crashes for e in self.endpoints)
 
     def ask_again(self, host, path=CRASHING):
-        """Ask for the same under a new id; return the status."""
+        """Repeat a request under a new id; return the status."""
         self.asked += 1
         return self.ask(host, f"id-{self.asked}", path=path)[0]
 
     def crash_three(self):
-        """Ask until three endpoints have ended, and wait."""
+        """Repeat the request until three endpoints have crashed, and wait."""
         end = time.monotonic() + instances.SECONDS
         while self.count_crashes() < CRASHES and time.monotonic() < end:
             self.ask_again(self.hosts[self.asked % 2])
         gevent.sleep(STABLE_SECONDS)
 
     def test_repeats_do_not_crash_endpoint_after_endpoint(self):
-        """Guards against a request that ends each endpoint it is sent to."""
+        """Guards against a request that crashes one endpoint after another."""
         self.crash_three()
         before = self.count_crashes()
         for _ in range(4):
@@ -99,7 +99,7 @@
             self.assertEqual(200, self.ask_again(host, "/review/other"))
 
     def test_instance_that_starts_later_knows_the_request(self):
-        """Guards against a restart after which all is tried once more."""
+        """Guards against a new instance that sends a barred request again."""
         self.crash_three()
         host = self.start(3)
         self.wait_for("the start", lambda: self.is_ready(host))
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Requests get places, wait for them, or are told when to come back."""
+"""Reservations, queueing and refusals by the dispatcher."""
 
 import gevent
 import testtools
@@ -9,14 +9,14 @@
 
 
 class DispatcherTest(testtools.TestCase):
-    """Waiting on the event loop."""
+    """Requests that get reservations, wait for them or are refused."""
 
     def test_refused_with_a_retry_time_after_waiting(self):
-        """A caller meets a full service.
+        """Guards against a request that never gets a final response.
 
-        All places are taken when its request comes. It waits as long as
-        its objective allows and then hears "not run" with a pause, since
-        only a final answer lets the caller turn elsewhere.
+        All capacity of the service is reserved. The request waits as long
+        as its objective allows and is then refused as not run, with a retry
+        time. The caller needs a final response to try elsewhere.
         """
         room = samples.Room([samples.make_endpoint()])
         for number in range(3):
@@ -35,11 +35,11 @@
         self.assertEqual(0, room.dispatcher.count_waiting())
 
     def test_refused_at_once_if_the_wait_would_be_too_long(self):
-        """Load: a service that is full for longer than requests wait.
+        """Guards against a wait that can't succeed.
 
-        Forty requests wait for two places that are held for seconds. The
-        next one hears at once that it has not run and when to come back:
-        no sooner than half a second later, and with time left to be served.
+        Forty requests wait for an endpoint with two slots whose reservations
+        are held for seconds. The next request is refused at once. Its retry
+        time is at least half a second and leaves time to be served.
         """
         room = samples.Room([samples.make_endpoint()])
         for number in range(3):
@@ -58,7 +58,7 @@
         gevent.killall(waiters)
 
     def test_released_reservation_goes_to_a_waiter(self):
-        """A caller waits and gets the place that another gives back."""
+        """A waiting request gets the capacity that another one releases."""
         room = samples.Room([samples.make_endpoint()])
         taken = [
             room.dispatcher.acquire(
@@ -81,10 +81,11 @@
         self.assertEqual("e1", found.endpoint.name)
 
     def test_failed_endpoint_is_not_tried_again_while_others_are_full(self):
-        """A request failed at one endpoint; the other is full.
+        """Guards against a retry at the endpoint that failed the request.
 
-        It waits for the other and does not go back to where it failed,
-        though there is room; with no other listed it may.
+        While another endpoint is listed, the request waits for it, even if
+        it is full and the failed one has free capacity. Without another
+        endpoint, the failed one may be used again.
         """
         endpoints = [samples.make_endpoint(name) for name in ("e1", "e2")]
         room = samples.Room(endpoints)
@@ -106,7 +107,7 @@
         self.assertEqual("e1", found.endpoint.name)
 
     def test_no_endpoint_has_its_own_code(self):
-        """No endpoint is listed: the caller hears so after its wait."""
+        """Without a listed endpoint, the refusal names this cause."""
         room = samples.Room([])
         route = samples.make_route(objective=0.01)
         work = samples.make_work("r", route, room.ticker.now())
@@ -114,11 +115,12 @@
         self.assertEqual(errors.Code.NO_ENDPOINT, found.code)
 
     def test_many_changes_cause_one_match(self):
-        """Load: an owner that hears of a thousand ends a second.
+        """Guards against an owner that stops answering under load.
 
-        Hundreds of requests wait, and each end would make the owner look
-        at all endpoints for all of them: it falls silent, and all who ask
-        it give up on it at once. All news that have come make one look.
+        An owner may receive a thousand released leases a second while
+        hundreds of requests wait. If each release scanned all endpoints for
+        all requests, the owner would stop answering, and all instances
+        would give up on it. Pending changes cause one common scan.
         """
         room = samples.Room([samples.make_endpoint()])
         for number in range(3):
@@ -136,7 +138,7 @@
         waiter.kill()
 
     def test_release_without_waiters_causes_no_match(self):
-        """Calm: an end that nobody waits for costs nothing."""
+        """A release without waiting requests does not scan the endpoints."""
         room = samples.Room([samples.make_endpoint()])
         taken = self.acquire(room, "t")
         looks = []
@@ -148,7 +150,7 @@
         self.assertEqual([], looks)
 
     def acquire(self, room, request_id):
-        """Ask for a place for a request that arrives now."""
+        """Request a reservation for a request that arrives now."""
         return room.dispatcher.acquire(
             samples.make_work(request_id, now=room.ticker.now()),
             samples.ENGINES,
--- a/tests/relay/test_endpoint_limit.py
+++ b/tests/relay/test_endpoint_limit.py
@@ -1,4 +1,4 @@
-"""Endpoints in need that name a limit for all instances together."""
+"""Endpoints that announce a rate limit for all instances together."""
 
 import itertools
 import time
@@ -9,26 +9,26 @@
 from tests.relay import instances
 
 STABLE_SECONDS = 3.0
-"""Time after the first naming by which the limit has to be kept."""
+"""Time after the first announcement by which the limit must be kept."""
 
 WINDOW_SECONDS = 4.0
 OVER = 1.5
 EXTRA = 5
-"""A window may hold so many times the limit, and so many requests more."""
+"""A window may hold ``OVER`` times the limit plus ``EXTRA`` requests."""
 
 RATE = 2.5
-"""What the endpoint takes, requests a second."""
+"""Limit of the endpoint, requests per second."""
 
 LOAD = 24.0
-"""What callers ask for, requests a second."""
+"""Load by callers, requests per second."""
 
 
 class LimitingEndpoint(fakes.Endpoint):
-    """An endpoint that may name a limit.
+    """An endpoint that may announce a rate limit.
 
     Attributes:
-        rate: named in its answers; None while it names none.
-        arrivals: clock times of all requests, seconds.
+        rate: limit in its responses; None if it announces none.
+        arrivals: clock times of all received requests, seconds.
     """
 
     def __init__(self, case):
@@ -45,7 +45,7 @@
         fakes.answer(**limit)(sock, request[2])
 
     def count_busiest(self, start):
-        """Return the most requests in one window from a time on."""
+        """Return the most requests in any window that begins after a time."""
         times = [at for at in self.arrivals if at >= start]
         return max(
             sum(at <= other < at + WINDOW_SECONDS for other in times)
@@ -54,7 +54,7 @@
 
 
 class EndpointLimitTest(instances.InstanceCase):
-    """Two endpoints under load, of which one names a limit."""
+    """Two endpoints under load, one of which announces a limit."""
 
     def setUp(self):
         """Start the endpoints."""
@@ -73,13 +73,13 @@
         hosts = [self.start(n + 1) for n in range(number)]
         for host in hosts:
             self.wait_for(
-                "meeting",
+                "peer discovery",
                 lambda host=host: len(self.lookup(host)) == number,
             )
         return hosts
 
     def apply_load(self, hosts, seconds):
-        """Let callers ask all instances in turn for a while."""
+        """Send requests to all instances in turn for a time."""
         end = time.monotonic() + seconds
         asks = []
         for host in itertools.cycle(hosts):
@@ -90,13 +90,13 @@
         gevent.joinall(asks)
 
     def ask_once(self, host):
-        """Ask for something that nobody has asked for before."""
+        """Send a request that was not sent before."""
         number = next(self.numbers)
         path = f"/review/{number}"
         self.statuses.append(self.ask(host, f"id-{number}", path=path)[0])
 
     def check_limit(self, instances_number):
-        """Check that a limit is kept from its time on, and its lifting."""
+        """Check that a limit is kept while it is announced and then lifted."""
         hosts = self.start_all(instances_number)
         self.apply_load(hosts, 1.0)
         self.limiting.rate = RATE
@@ -114,9 +114,9 @@
         self.assertGreater(len(taken), 2 * RATE * 2.0)
 
     def test_one_instance_keeps_it(self):
-        """Guards against an endpoint in need that gets as much as others."""
+        """Guards against a limited endpoint that gets as much as others."""
         self.check_limit(1)
 
     def test_instances_keep_it_together(self):
-        """Guards against a limit that each instance uses up by itself."""
+        """Guards against a limit that each instance uses up on its own."""
         self.check_limit(4)
--- a/tests/relay/test_instance.py
+++ b/tests/relay/test_instance.py
@@ -1,4 +1,4 @@
-"""Real instances before a fake store and fake endpoints."""
+"""Instance processes with a fake store and a fake endpoint."""
 
 import re
 import signal
@@ -11,19 +11,20 @@
 
 
 class InstanceTest(instances.InstanceCase):
-    """Two instances as processes of their own."""
+    """Instances that run as separate processes."""
 
     def test_from_lookup_to_answer(self):
-        """A caller looks up, connects and gets the endpoint's answer.
+        """A caller does a lookup, connects and gets the endpoint's response.
 
-        Refusals for an unknown key and path are told apart; metrics and
-        the log tell of them.
+        An unknown key and an unknown path get different statuses. The
+        metrics and the event log record the answered request.
         """
         hosts = [self.start(1), self.start(2)]
         expected = [f"{h}:{instances.PORTS['callers']}" for h in hosts]
         for host in hosts:
             self.wait_for(
-                "meeting", lambda host=host: self.lookup(host) == expected
+                "peer discovery",
+                lambda host=host: self.lookup(host) == expected,
             )
             self.assertTrue(self.is_ready(host))
         status, headers, body = self.ask(hosts[0])
@@ -47,10 +48,10 @@
         self.assertEqual(["id-1"], [line["request"] for line in ended])
 
     def test_store_is_away_at_a_start(self):
-        """An instance starts while the store refuses it.
+        """Guards against a start that depends on the store.
 
-        It learns the configuration and the endpoints from its neighbour
-        and serves; alone it would answer "not run" to everybody.
+        An instance that can't reach the store gets the configuration and
+        the endpoints from a peer. Otherwise it would refuse every request.
         """
         first = self.start(1)
         self.wait_for("the first start", lambda: self.is_ready(first))
@@ -64,7 +65,10 @@
         )
 
     def test_nothing_known_yet(self):
-        """No store, no neighbour: "not run", come back; never 404."""
+        """Without store and peers, a request gets 503 with a retry time.
+
+        Never 404: the routes are not known.
+        """
         host = self.start(1, store="127.0.0.1:1")
         self.assertFalse(self.is_ready(host))
         status, headers, _ = self.ask(host)
@@ -73,17 +77,17 @@
         self.assertEqual([], self.lookup(host))
 
     def test_graceful_stop(self):
-        """A stop is ordered while a stream runs.
+        """Guards against a stop that cuts a running stream.
 
-        Lookups name the other instance at once, the stream comes whole,
-        and only then the process ends, with exit code 0.
+        After the stop signal, lookups name only the other instance. The
+        stream is completed, and then the process ends with exit code 0.
         """
         events = [fakes.make_event(n) for n in range(22)]
         self.endpoint.scripts = [fakes.stream(*events, pause=0.15)]
         hosts = [self.start(1), self.start(2)]
         for host in hosts:
             self.wait_for(
-                "meeting", lambda host=host: len(self.lookup(host)) == 2
+                "peer discovery", lambda host=host: len(self.lookup(host)) == 2
             )
         stream = gevent.spawn(self.ask, hosts[0])
         self.wait_for("the send", lambda: self.endpoint.requests)
@@ -100,18 +104,18 @@
             socket.create_connection((hosts[0], instances.PORTS["callers"]), 1)
 
     def test_leaving_endpoint_gets_no_new_work(self):
-        """Its entry says so, or is gone; callers hear "not run"."""
+        """An endpoint whose entry says that it leaves gets no requests."""
         host = self.start(1)
         self.wait_for("the start", lambda: self.is_ready(host))
         self.wait_for("an answer", lambda: self.ask(host)[0] == 200)
         self.put_endpoint(state="draining")
-        self.wait_for("the leave", lambda: self.ask(host)[0] == 503)
+        self.wait_for("the refusal", lambda: self.ask(host)[0] == 503)
         sent = len(self.endpoint.requests)
         self.assertEqual(503, self.ask(host)[0])
         self.assertEqual(sent, len(self.endpoint.requests))
 
     def test_wrong_settings_at_a_reload(self):
-        """The file turns wrong: one numbered line, and callers go on."""
+        """An invalid settings file is logged with its code, and ignored."""
         host = self.start(1)
         self.wait_for("the start", lambda: self.is_ready(host))
         (self.folder / "entry-1.yaml").write_text("instance: 5 5\n")
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -1,4 +1,4 @@
-"""Instances that lease places from an owner, over links that may fail."""
+"""Leasing of endpoint capacity from an owner, over links that may fail."""
 
 import gevent
 import testtools
@@ -15,15 +15,15 @@
 from tests.relay import test_membership
 
 INSTANCES = 13
-"""Instances, so that some are neither owner nor asked next."""
+"""Instances; enough that some are neither the owner nor the next owner."""
 
 
 class Node:
     """One instance of a fleet whose links are function calls.
 
     Attributes:
-        silent: whether it answers nobody.
-        lost: kinds of messages that get lost on the way to it.
+        silent: whether messages to the instance are dropped.
+        lost: types of messages to the instance that are dropped.
     """
 
     def __init__(self, name, net, endpoints, configuration=None):
@@ -50,7 +50,7 @@
         )
 
     def tell(self, instance, message):
-        """Hand a message to another node, as a datagram would come."""
+        """Deliver a message to another node, like a datagram."""
         other = self._net[instance]
         if other.silent or isinstance(message, other.lost):
             return
@@ -58,27 +58,27 @@
         gevent.spawn(other.receive, messages.CODEC.unpack(data))
 
     def receive(self, message):
-        """Take a message."""
+        """Handle a message."""
         self.received.append(message)
         self.leasing.handle(message)
 
     def acquire(self, request_id="r1", route=None, tried=()):
-        """Ask for a place for a request that arrives now."""
+        """Request a reservation for a request that arrives now."""
         work = samples.make_work(request_id, route, self.room.ticker.now())
         return self.room.dispatcher.acquire(
             work, samples.ENGINES, frozenset(tried)
         )
 
     def count(self, endpoint="e1"):
-        """Return the requests that it counts at an endpoint."""
+        """Return the number of requests that it knows at an endpoint."""
         return self.room.board.get_load(endpoint).requests
 
 
 class LeasingTest(testtools.TestCase):
-    """A fleet before one endpoint of two slots."""
+    """A fleet that shares one endpoint with two slots."""
 
     def setUp(self):
-        """Make the nodes, each of which hears of all others."""
+        """Create the nodes and let each receive a report of all nodes."""
         super().setUp()
         self.net = {}
         self.names = [f"i{n}" for n in range(INSTANCES)]
@@ -94,34 +94,34 @@
         self.one, self.two = rest[:2]
 
     def find_owner(self, node):
-        """Return the owner that a node sees."""
+        """Return the owner as determined by a node."""
         pool = ownership.Pool(service=samples.ENGINES, number=0)
         return node.leasing.owners.find_owner(pool, node.room.ticker.now())
 
     def configure(self, route):
-        """Put a route into force on all nodes."""
+        """Set a configuration with one route on all nodes."""
         for node in self.net.values():
             node.room.cluster_state.configuration = samples.make_configuration(
                 (route,)
             )
 
     def settle(self):
-        """Let messages that are on their way arrive."""
+        """Wait until pending messages have been delivered."""
         gevent.sleep(0.01)
 
     def test_all_see_the_same_owner(self):
-        """No message is needed for it."""
+        """All nodes determine the same owner without messages."""
         owners = {self.find_owner(node) for node in self.net.values()}
         self.assertEqual({self.owner.name}, owners)
 
     def test_single_instance_decides_by_itself(self):
-        """Nobody else is there to ask."""
+        """An instance without peers reserves capacity without a lease."""
         node = Node("alone", self.net, [samples.make_endpoint()])
         found = node.acquire()
         self.assertFalse(found.leased)
 
     def test_place_counts_at_the_owner_until_it_is_given_back(self):
-        """Two instances fill an endpoint of which both know nothing."""
+        """The owner counts leases of others until they are released."""
         first = self.one.acquire("r1")
         second = self.two.acquire("r2")
         self.assertTrue(first.leased and second.leased)
@@ -133,11 +133,11 @@
         self.assertEqual(1, self.owner.count())
 
     def test_freed_place_goes_to_the_most_urgent_of_all(self):
-        """Two callers wait at two instances, the lower tier for longer.
+        """Guards against separate queues that ignore each other's urgency.
 
-        The place that a third instance gives back goes to the higher tier,
-        though its request came later and elsewhere: the owner's queue is
-        the only one.
+        Requests of two tiers wait at two instances, the lower tier for
+        longer. Capacity that the owner's own request releases goes to the
+        higher tier, since the owner's queue orders all requests.
         """
         taken = [self.owner.acquire(f"t{n}") for n in range(3)]
         low = samples.make_route(tier=2)
@@ -152,10 +152,10 @@
         later.kill()
 
     def test_refused_with_a_retry_time_after_waiting(self):
-        """All places stay taken.
+        """Guards against a request that outlives its wait at the owner.
 
-        The caller hears so after its patience, and the owner forgets its
-        request.
+        All capacity stays reserved. The request is refused after its
+        maximum wait, and the owner removes it from its queue.
         """
         for number in range(3):
             self.owner.acquire(f"t{number}")
@@ -167,10 +167,11 @@
         self.assertEqual(0, self.owner.room.dispatcher.count_waiting())
 
     def test_refused_at_once_if_the_wait_would_be_too_long(self):
-        """The owner's endpoint is full, and forty requests wait there.
+        """Guards against a remote request whose wait can't succeed.
 
-        A request of another instance hears within a moment that it has not
-        run, and when to come back; the owner keeps nothing of it.
+        The owner's endpoint is full and forty requests wait for it. A
+        request of another instance is refused at once with a retry time,
+        and the owner does not keep it.
         """
         for number in range(3):
             self.owner.acquire(f"t{number}")
@@ -189,11 +190,11 @@
         gevent.killall(waiting)
 
     def test_dead_owner_delays_nobody(self):
-        """The owner is killed.
+        """Guards against requests that wait for an owner that is dead.
 
-        The first request notices within 0.15 s and is sent by its own
-        instance's choice; the next ones ask the next owner, which hears of
-        what runs with the next renewal.
+        The first request detects it within 0.15 s, and its instance chooses
+        an endpoint by itself. Later requests ask the next owner, which
+        learns of the running requests with the next renewal.
         """
         held = self.one.acquire("held")
         self.assertTrue(held.leased)
@@ -209,11 +210,11 @@
         self.assertEqual(1, second.leasing.leases.has("held", "e1"))
 
     def test_successor_of_a_leaving_owner_learns_the_leases(self):
-        """The owner is told to stop, while an endpoint is full.
+        """Guards against a new owner that grants reserved capacity again.
 
-        The next owner hears of what runs from each instance as soon as
-        that names it, and not up to half a second later: it would hand out
-        the same places once more.
+        The owner stops while an endpoint is full. Each instance reports its
+        leases to the next owner as soon as it sees the change, and not with
+        the next renewal, up to half a second later.
         """
         held = self.one.acquire("held")
         self.assertTrue(held.leased)
@@ -229,10 +230,11 @@
         self.assertTrue(second.leasing.leases.has("held", "e1"))
 
     def test_short_wait_does_not_mark_the_owner_unresponsive(self):
-        """A request has 0.09 s left to wait, and one question gets lost.
+        """Guards against an owner that is excluded for one lost message.
 
-        Its second question has no time for an answer: the request ends in
-        vain, and the owner is not passed over for all others.
+        A request may wait for 0.09 s, and its first lease request is lost.
+        There is no time left for an answer to the second one, which must
+        not count against the owner.
         """
         route = samples.make_route(objective=0.045)
         self.configure(route)
@@ -241,9 +243,10 @@
         self.assertEqual(self.owner.name, self.find_owner(self.one))
 
     def test_lost_grant_is_sent_again(self):
-        """The answer to the first question is lost.
+        """Guards against a lease that is granted twice.
 
-        The second question gets the same place, and it counts once.
+        The grant is lost, and the repeated lease request gets the same
+        reservation, which the owner counts once.
         """
         for node in self.net.values():
             second = samples.make_endpoint("e2")
@@ -259,9 +262,10 @@
         self.assertEqual(1, sum(counts))
 
     def test_caller_that_leaves_while_it_waits(self):
-        """Its request is taken out of the owner's queue.
+        """Guards against leases of requests whose callers disconnected.
 
-        A place that is granted at the same moment is given back.
+        The request is removed from the owner's queue, and a lease that is
+        granted at the same moment is returned.
         """
         taken = [self.owner.acquire(f"t{n}") for n in range(3)]
         waits = gevent.spawn(self.one.acquire, "gone")
@@ -273,10 +277,11 @@
         self.assertEqual(0, self.owner.room.dispatcher.count_waiting())
 
     def test_failures_that_others_saw_count_at_the_owner(self):
-        """Load: 45 endpoints and 60 instances, of which each sees little.
+        """Guards against one instance after another trying a dead endpoint.
 
-        One instance finds an endpoint dark, and the next caller, at
-        another instance, is not sent there.
+        With 45 endpoints and 60 instances, each instance observes few
+        failures. If one finds an endpoint unreachable, requests of other
+        instances are not sent there.
         """
         found = self.one.acquire("r1")
         found.run.verdict = runs.Verdict.UNREACHABLE
@@ -288,7 +293,7 @@
         self.assertEqual(errors.Code.OVERLOADED, second.code)
 
     def test_owner_that_does_not_know_the_route(self):
-        """It has an older configuration: the asker decides by itself."""
+        """An owner with an older configuration declines the lease request."""
         self.owner.room.cluster_state.configuration = (
             samples.make_configuration((samples.make_route(name="old"),))
         )
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -1,4 +1,4 @@
-"""How soon a change is known after the store was away."""
+"""Delay until a change is known after an outage of the store."""
 
 import random
 
@@ -12,23 +12,23 @@
 from tests.relay import samples
 
 APPLY_SECONDS = 2.0
-"""Within which a confirmed configuration has to be in force."""
+"""Time within which a confirmed configuration must be in force."""
 
 STABLE_SECONDS = 3.0
-"""After which a store that is back, and an instance, count as well."""
+"""Time after which a recovered store or instance counts as stable."""
 
 ROUND_TRIP_SECONDS = 0.004
-"""An answer of a store that is well takes so long."""
+"""Response time of a healthy store."""
 
 
 class UnavailableStore:
-    """A store that answers nobody for a while, on the paused clock.
+    """A store with an outage, on a manual clock.
 
-    A question that is asked meanwhile stays without an answer for good,
-    also once the store is back: its connection has gone silent.
+    A query sent during the outage never gets a response, even after the
+    store has recovered, since its connection is dead.
 
     Attributes:
-        received: bytes of the latest answer.
+        received: size of the latest response, bytes.
     """
 
     def __init__(self, ticker, away_from, back_at):
@@ -37,11 +37,11 @@
         self.received = 0
 
     def read(self, prefix, after=""):
-        """Return the configuration there was at the start."""
+        """Return the initial configuration."""
         return self._ask(0.0, lambda: self._answer(1))
 
     def watch(self, prefix, revision, wait):
-        """Return the change that is confirmed as the store returns."""
+        """Return the change that is confirmed when the store recovers."""
         return self._ask(wait, lambda: self._wait(revision, wait))
 
     def _ask(self, wait, answer):
@@ -56,7 +56,7 @@
         start, end = self._away
         now = self._ticker.now()
         if now < start < now + wait:
-            # The store goes away under the question.
+            # The outage begins while the query is pending.
             self._ticker.advance(wait + follower_module.ANSWER_SECONDS)
             return result.Err("no answer in time")
         if now >= end and revision < 2:
@@ -70,14 +70,14 @@
 
 
 class OutageTest(testtools.TestCase):
-    """An instance on the paused clock; what its neighbours do is no help.
+    """One instance on a manual clock, without help from its peers.
 
-    All instances watch the same changes, so that they ask in step, and
-    give up in step when the store falls silent.
+    All instances watch the same changes. Their queries are therefore in
+    step, and time out in step when the store stops answering.
     """
 
     def measure_delay(self, away_seconds, away_from=103.0):
-        """Return the time from the store's return to the change, seconds."""
+        """Return the time from the recovery to the change, seconds."""
         ticker = clock.ManualClock(100.0)
         back_at = away_from + away_seconds
         known = {}
@@ -94,14 +94,14 @@
         return known[2] - back_at
 
     def test_change_is_in_force_soon_after_an_outage(self):
-        """A caller gets 404 for a route that was confirmed 3 s ago.
-
-        The store falls silent, and each question stayed out as long as a
-        watch of a store that is well may. One that was asked just before
-        the store was back, and confirmed the route, hid its return for
-        2.8 s, and a pause followed: 3.5 s here. Asked without a wait, the
-        store is seen within 1.6 s. Lengths of the outage in small steps put
-        its end at every moment of a question, with the longest pauses.
+        """Guards against a 404 for a route that was confirmed 3 s ago.
+
+        If queries of a silent store wait as long as a watch of a healthy
+        one, a query sent just before the recovery hides it for 2.8 s, and
+        with the following pause the change takes 3.5 s. Queries without a
+        wait find the store within 1.6 s. The length of the outage varies in
+        small steps, so that it ends at every moment of a query. Pauses are
+        the longest possible.
         """
         self.patch(random, "uniform", lambda low, high: high)
         delays = {
@@ -112,10 +112,10 @@
         self.assertEqual({}, late)
 
     def test_watch_that_is_out_as_the_store_falls_silent(self):
-        """The same after a short outage, shorter than the watch is long.
+        """Guards against a late change after an outage shorter than a watch.
 
-        The watch was asked at any moment before the store fell silent, and
-        nothing tells that it is lost until it is given up.
+        The watch begins at various times before the outage. Its loss is not
+        noticed until it times out.
         """
         self.patch(random, "uniform", lambda low, high: high)
         late = {}
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -1,4 +1,4 @@
-"""What callers get when endpoints fail in one way or another."""
+"""Responses to callers when endpoints fail."""
 
 import gevent
 from gevent import event as gevent_event
@@ -20,10 +20,10 @@
 
 
 class SenderTest(testtools.TestCase):
-    """One request at a time, with real sockets."""
+    """Single requests over real sockets."""
 
     def prepare(self, *endpoints, **route):
-        """Return the parts for a route to some endpoints."""
+        """Create the context for a route to some endpoints."""
         fields = {
             "repeat": models.Repeat.IDEMPOTENT,
             "shares": (models.Share(service=PLAIN, weight=1.0),),
@@ -61,7 +61,7 @@
         )
 
     def ask(self, fingerprint="f1", **fields):
-        """Send one request; return status, headers and body."""
+        """Send one request; return the status."""
         self.started = []
         job = jobs.Job(
             work=samples.make_work("id-1", self.route, self.room.ticker.now()),
@@ -92,11 +92,11 @@
         return self.started[-1][0]
 
     def start(self, status, headers):
-        """Take the head of the answer."""
+        """Record the status and headers of the response."""
         self.started.append((int(status.split()[0]), dict(headers)))
 
     def test_request_reaches_the_endpoint_as_it_came(self):
-        """Only what concerns the connection or the instance differs."""
+        """Only hop-by-hop headers and those of the instance differ."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
         self.assertEqual(200, self.ask())
@@ -112,7 +112,7 @@
             self.assertNotIn(name, headers)
 
     def test_failed_idempotent_request_runs_elsewhere(self):
-        """The first endpoint fails; the caller gets the second's answer."""
+        """If the first endpoint fails, the second one's response is sent."""
         bad = fakes.Endpoint(self, fakes.answer(500))
         good = fakes.Endpoint(self, fakes.answer())
         self.prepare(bad, good)
@@ -120,7 +120,7 @@
         self.assertEqual(1, len(bad.requests) + len(good.requests) - 1)
 
     def test_both_fail_and_the_caller_gets_the_endpoints_answer(self):
-        """No third endpoint may run it: the signed failure is passed on."""
+        """The signed failure is forwarded; no third endpoint may run it."""
         bad = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         worse = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         spare = fakes.Endpoint(self, fakes.answer(500, b"broken"))
@@ -131,10 +131,11 @@
         self.assertEqual([0, 1, 1], sorted(runs))
 
     def test_non_idempotent_request_is_sent_once(self):
-        """The connection breaks after the send.
+        """Guards against a non-idempotent request that runs twice.
 
-        The endpoint may have run the request, so that the caller hears
-        "outcome unknown" and no other endpoint gets it.
+        The connection breaks after the send, so the endpoint may have run
+        the request. The caller gets "outcome unknown", and no other
+        endpoint gets the request.
         """
         first = fakes.Endpoint(self, fakes.close_unanswered)
         second = fakes.Endpoint(self, fakes.answer())
@@ -149,32 +150,33 @@
         self.assertEqual(0, len(second.requests))
 
     def test_not_run_goes_to_another_whatever_its_kind(self):
-        """An endpoint that is full says so: the request may go on."""
+        """A request that a full endpoint did not run is sent elsewhere."""
         full = fakes.Endpoint(self, fakes.answer(503, X_Not_Executed="1"))
         good = fakes.Endpoint(self, fakes.answer())
         self.prepare(full, good, repeat=models.Repeat.NON_IDEMPOTENT)
         self.assertEqual(200, self.ask())
 
     def test_all_full_is_a_refusal_with_a_pause(self):
-        """Nobody ran it: the caller may come back and hears when."""
+        """A request that no endpoint ran is refused with a retry time."""
         full = fakes.Endpoint(self, fakes.answer(503, X_Not_Executed="1"))
         self.prepare(full, repeat=models.Repeat.NON_IDEMPOTENT)
         self.assertEqual(503, self.ask())
         self.assertIn("retry-after", self.started[-1][1])
 
     def test_misdirected_request_did_not_run(self):
-        """Another endpoint has the address now and says so."""
+        """The endpoint that took over an address reports the mismatch."""
         other = fakes.Endpoint(self, fakes.answer(421, signed=False))
         good = fakes.Endpoint(self, fakes.answer())
         self.prepare(other, good, repeat=models.Repeat.NON_IDEMPOTENT)
         self.assertEqual(200, self.ask())
 
     def test_replaced_endpoint_draws_no_more_requests(self):
-        """An endpoint died; its successor has its address, not its name.
+        """Guards against an endpoint that is gone but attracts requests.
 
-        The list names the old one for some seconds. It looks idle while
-        the other endpoint is full. The first request finds out; the next
-        ones wait for the other and are not spent on the one that is gone.
+        Its successor has the same address and another name, and the list
+        names the old endpoint for some seconds. It looks idle while the
+        other one is full. After the first request fails there, later ones
+        wait for the other endpoint.
         """
         other = fakes.Endpoint(self, fakes.answer(421, signed=False))
         full = fakes.Endpoint(self, fakes.answer())
@@ -189,19 +191,19 @@
         self.assertEqual(1, len(other.requests))
 
     def test_answer_to_another_request_is_not_passed_on(self):
-        """A late answer of an earlier request comes: not this caller's."""
+        """A response with the id of another request is not forwarded."""
         crossed = fakes.Endpoint(self, fakes.answer(200, X_Attempt_Id="other"))
         self.prepare(crossed, repeat=models.Repeat.NON_IDEMPOTENT)
         self.assertEqual(502, self.ask())
 
     def test_success_without_a_signature_is_no_success(self):
-        """A faulty endpoint answers 200 unsigned."""
+        """An unsigned 200 from a faulty endpoint is not forwarded."""
         forged = fakes.Endpoint(self, fakes.answer(200, signed=False))
         self.prepare(forged, repeat=models.Repeat.NON_IDEMPOTENT)
         self.assertEqual(502, self.ask())
 
     def test_second_answer_is_dropped(self):
-        """An endpoint sends another answer behind a whole one."""
+        """A second response on the same connection is not forwarded."""
 
         def twice(sock, headers):
             fakes.answer()(sock, headers)
@@ -213,7 +215,7 @@
         self.assertEqual(b"done", self.body)
 
     def test_silent_endpoint_ends_with_the_deadline(self):
-        """The final answer comes at the deadline, not later."""
+        """The caller gets a final response at the deadline, not later."""
         endpoint = fakes.Endpoint(self, fakes.never_answer)
         self.prepare(endpoint, timeout=0.1)
         began = self.room.ticker.now()
@@ -221,7 +223,7 @@
         self.assertLess(self.room.ticker.now() - began, 0.3)
 
     def test_early_refusal_of_a_long_body(self):
-        """An endpoint refuses before it has read the body."""
+        """A refusal sent before the body was read is still received."""
 
         def refuse(sock, headers):
             sock.sendall(fakes.render(503, X_Not_Executed="1"))
@@ -231,7 +233,7 @@
         self.assertEqual(503, self.ask())
 
     def test_broken_stream_ends_uncleanly(self):
-        """A stream breaks midway: it must not look whole."""
+        """A stream that breaks off must not look complete."""
         events = [fakes.make_event(1), fakes.make_event(2)[:5]]
         endpoint = fakes.Endpoint(
             self, fakes.stream(*events, whole=False, pause=0.02)
@@ -242,10 +244,11 @@
         self.assertEqual("cut", self.sender.progress.outcome)
 
     def test_resumable_stream_goes_on_elsewhere(self):
-        """The first endpoint breaks off in the middle of an event.
+        """Guards against lost or repeated events in a resumed stream.
 
-        The second is told the last whole event; the caller gets each
-        event once, under the head of the first answer.
+        The first endpoint breaks off in the middle of an event. The second
+        gets the id of the last complete event, and the caller gets each
+        event once, after the head of the first response.
         """
         one, two, three = (fakes.make_event(n) for n in (1, 2, 3))
         first = fakes.Endpoint(
@@ -263,10 +266,11 @@
         self.assertEqual(1, len(self.started))
 
     def test_resumable_stream_that_fails_at_once_runs_elsewhere(self):
-        """The first endpoint answers 500 before any event.
+        """Guards against a failure that another run could have avoided.
 
-        The caller has got nothing yet and its route allows another run:
-        it gets the whole stream of the second endpoint, and no failure.
+        The first endpoint answers 500 before any event. Nothing was sent to
+        the caller yet and the route allows another run, so the caller gets
+        the complete stream of the second endpoint.
         """
         one, two = (fakes.make_event(n) for n in (1, 2))
         first = fakes.Endpoint(self, fakes.answer(500, b"broken"))
@@ -280,7 +284,7 @@
         self.assertNotIn("last-event-id", second.requests[0][2])
 
     def test_stream_that_may_run_once_fails_at_once(self):
-        """Its caller gets the endpoint's own word; nothing runs again."""
+        """The endpoint's failure is forwarded and nothing runs again."""
         first = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         second = fakes.Endpoint(self, fakes.stream(fakes.make_event(1)))
         self.prepare(first, second, repeat=models.Repeat.STREAM)
@@ -289,11 +293,12 @@
         self.assertEqual([], second.requests)
 
     def test_resumed_stream_meets_a_failure(self):
-        """The first endpoint crashes midway, the second answers 500.
+        """Guards against an error response within a stream.
 
-        The caller has the head of a success and some events already. The
-        failure's body is no event of its stream, and an end behind it
-        would look whole: the connection ends uncleanly.
+        The first endpoint crashes in the middle and the second answers 500.
+        The caller already has a success status and some events. The error's
+        body is not part of the stream, and a clean end after it would look
+        complete, so the connection ends uncleanly.
         """
         one = fakes.make_event(1)
         first = fakes.Endpoint(
@@ -309,7 +314,7 @@
         self.assertEqual(1, len(self.started))
 
     def test_caller_that_leaves_stops_the_work(self):
-        """The endpoint sees its connection close within a moment."""
+        """The connection to the endpoint is closed at once."""
         closed = gevent_event.Event()
 
         def wait(sock, headers):
@@ -326,7 +331,7 @@
         self.assertEqual(0, self.room.board.get_load("e0").requests)
 
     def test_endpoint_that_leaves_during_the_connect_gets_nothing(self):
-        """Its entry goes while the connection comes about."""
+        """Guards against an entry that goes while the connection opens."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint, objective=0.05)
         cluster_state = self.room.cluster_state
@@ -342,7 +347,7 @@
         return self.suspects.is_barred("f1", self.room.ticker.now())
 
     def crash_others(self, number):
-        """Let endpoints that this instance never sees end under it."""
+        """Record crashes, under the request, of endpoints not listed here."""
         for each in range(number):
             self.suspects.note_end(
                 "f1",
@@ -351,7 +356,7 @@
             )
 
     def test_barred_request_reaches_no_endpoint(self):
-        """Guards against one more end for each caller's repeat."""
+        """Guards against one more crash for each retry of a caller."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
         self.crash_others(suspects.MAX_ENDS)
@@ -364,7 +369,7 @@
         self.assertEqual(1, len(endpoint.requests))
 
     def test_request_barred_by_its_own_end_is_not_sent_again(self):
-        """Guards against a repeat within the attempt that ended the third."""
+        """Guards against a retry by the attempt that crashed the third."""
         ending = fakes.Endpoint(self, fakes.close_unanswered)
         other = fakes.Endpoint(self, fakes.answer())
         self.prepare(ending, other)
@@ -374,7 +379,7 @@
         self.assertEqual(0, len(other.requests))
 
     def test_request_barred_while_it_connects_is_not_sent(self):
-        """Guards against news that come between the choice and the send."""
+        """Guards against a bar between the reservation and the send."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
         cluster_state = self.room.cluster_state
@@ -389,7 +394,7 @@
         self.assertEqual(0, len(endpoint.requests))
 
     def test_failure_of_a_live_endpoint_is_no_end(self):
-        """Guards against a bar for failures that an endpoint tells."""
+        """Guards against a bar for failures that an endpoint reports."""
         bad = fakes.Endpoint(self, fakes.answer(500))
         self.prepare(bad)
         self.crash_others(suspects.MAX_ENDS - 1)
@@ -397,7 +402,7 @@
         self.assertFalse(self.is_barred())
 
     def test_endpoint_gone_without_a_reset_counts(self):
-        """Guards against an end whose reset is lost on its way."""
+        """Guards against a missed crash whose connection reset is lost."""
         endpoint = fakes.Endpoint(self, fakes.never_answer)
         self.prepare(endpoint, timeout=0.1)
         self.crash_others(suspects.MAX_ENDS - 1)
@@ -406,7 +411,7 @@
         self.assertTrue(self.is_barred())
 
     def test_limit_in_any_answer_is_noted(self):
-        """Guards against a limit that only refusals name."""
+        """Guards against limits that are read from refusals only."""
         endpoint = fakes.Endpoint(self)
         self.prepare(endpoint, repeat=models.Repeat.NON_IDEMPOTENT)
         kicker = gevent.spawn(self.room.dispatcher.run_match_loop)
@@ -422,10 +427,10 @@
 
 
 class LastEventTest(testtools.TestCase):
-    """Finding the id of the last whole event."""
+    """Extraction of the id of the last complete event."""
 
     def test_ids(self):
-        """The last id counts, wherever it stands."""
+        """The last id is returned, wherever it occurs."""
         both = fakes.make_event(7) + fakes.make_event(8)
         self.assertEqual("8", sender.find_last_event_id(both))
         self.assertEqual("7", sender.find_last_event_id(fakes.make_event(7)))
