--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -99,7 +99,7 @@
         arrived = self._ticker.now()
         if self._is_leaving():
             start_response = _add_connection_close(start_response)
-        match environ["wsgi.input"].read_whole():
+        match environ["wsgi.input"].read_all():
             case result.Err(refusal):
                 return self._refuse(
                     environ, start_response, refusal, close=True
@@ -122,7 +122,7 @@
         finally:
             self.running -= 1
             if job.workspace and request_sender.progress.is_known_not_run:
-                self._quotas.give_back(job.workspace, job.units)
+                self._quotas.refund(job.workspace, job.units)
 
     def _check(
         self, environ: Environ, body: bytes, arrived: float
--- a/citronport/relay/upstream.py
+++ b/citronport/relay/upstream.py
@@ -81,8 +81,8 @@
     def open(self) -> Unreachable | None:
         """Connect to the endpoint."""
         try:
-            self._connection = connection.dial(
-                self._address, seconds=CONNECT_TIMEOUT_SECONDS
+            self._connection = connection.connect(
+                self._address, timeout=CONNECT_TIMEOUT_SECONDS
             )
         except OSError as error:
             return Unreachable(reason=type(error).__name__)
@@ -137,4 +137,4 @@
                 if not conn.has_input():
                     raise
             return
-        conn.send_watching(request)
+        conn.send_until_answered(request)
--- a/tests/endpoints/test_watch.py
+++ b/tests/endpoints/test_monitors.py
@@ -8,14 +8,14 @@
 import testtools
 
 from citronport import clock
-from citronport.endpoints import watch
+from citronport.endpoints import monitors
 from citronport.scheduler import models
 
 ADDRESS = "127.72.0.2"
 NAME = "engine-1"
 
 
-class WatchTest(testtools.TestCase):
+class MonitorTest(testtools.TestCase):
     """One endpoint on a socket of this process is watched."""
 
     def setUp(self):
@@ -27,10 +27,12 @@
         listening.start()
         self.addCleanup(listening.stop, 1)
         self.events = queue.Queue()
-        self.watches = watch.Watches(clock.RuntimeClock(), self.events.put)
+        self.monitors = monitors.EndpointMonitors(
+            clock.RuntimeClock(), self.events.put
+        )
         address = f"{ADDRESS}:{listening.server_port}"
-        self.watches.assign({NAME: address})
-        self.addCleanup(self.watches.assign, {})
+        self.monitors.assign({NAME: address})
+        self.addCleanup(self.monitors.assign, {})
 
     def handle(self, sock, _):
         """Answer load reports on one connection."""
@@ -50,11 +52,11 @@
     def test_report_comes_after_the_start(self):
         """A start is told first, then its load."""
         start = self.events.get(timeout=5).start
-        self.assertTrue(self.watches.is_current(NAME, start))
+        self.assertTrue(self.monitors.is_current(NAME, start))
         report = self.events.get(timeout=5).report
         self.assertEqual((3, True), (report.running, report.cold))
 
-    def test_end_is_seen_before_the_watch_has_its_turn(self):
+    def test_closed_socket_is_seen_before_monitor_runs(self):
         """The endpoint's process ends and another one takes its address.
 
         A dispatch that was decided for the warm process stands between
@@ -65,11 +67,11 @@
         start = self.wait_for(models.EndpointConnected).start
         self.wait_for(models.EndpointReported)
         self.connections[0].shutdown(2)
-        self.assertFalse(self.watches.is_current(NAME, start))
+        self.assertFalse(self.monitors.is_current(NAME, start))
         self.wait_for(models.EndpointLost)
         later = self.wait_for(models.EndpointConnected).start
         self.assertNotEqual(start, later)
-        self.assertFalse(self.watches.is_current(NAME, start))
+        self.assertFalse(self.monitors.is_current(NAME, start))
 
     def test_other_start_behind_the_same_connection(self):
         """A report that names another start is a loss and a start."""
@@ -78,7 +80,7 @@
         self.wait_for(models.EndpointLost)
         self.wait_for(models.EndpointConnected)
 
-    def test_cache_events_tell_their_gaps(self):
+    def test_gap_in_cache_events_is_reported(self):
         """Number 2 never comes: the event after it says so."""
         events = [{"number": 1, "stored": [7], "evicted": []}]
         self.report["cache"] = {"events": events}
@@ -90,10 +92,10 @@
             later = self.wait_for(models.CacheReported)
         self.assertTrue(later.gap)
 
-    def test_endpoint_no_longer_owned_is_left_alone(self):
+    def test_released_endpoint_is_disconnected(self):
         """Its connection ends, and no start counts as current."""
         start = self.wait_for(models.EndpointConnected).start
-        self.watches.assign({})
+        self.monitors.assign({})
         self.wait_for(models.EndpointLost)
         gevent.sleep(0)
-        self.assertFalse(self.watches.is_current(NAME, start))
+        self.assertFalse(self.monitors.is_current(NAME, start))
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -19,7 +19,7 @@
 class Body:
     """An empty request body."""
 
-    def read_whole(self):
+    def read_all(self):
         """Return an empty body."""
         return result.Ok(b"")
 
@@ -37,7 +37,7 @@
         super().setUp()
         self.clock = clock.ManualClock()
         self.peers_known_at = 0.0
-        self.room = samples.Room([], self.clock)
+        self.room = samples.DispatcherFixture([], self.clock)
         self.room.cluster_state.configuration = None
         context = jobs.RelayContext(
             self.room.cluster_state,
@@ -45,7 +45,7 @@
             self.room.board,
             self.room.health,
             endpoint_limits.EndpointLimits(),
-            suspects.Suspects(),
+            suspects.SuspectRequests(),
             self.clock,
             self.room.log,
             metrics.Counts(),
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -18,7 +18,7 @@
         as its objective allows and is then refused as not run, with a retry
         time. The caller needs a final response to try elsewhere.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             taken = room.dispatcher.acquire(
                 samples.make_work(f"t{number}", now=room.ticker.now()),
@@ -41,7 +41,7 @@
         are held for seconds. The next request is refused at once. Its retry
         time is at least half a second and leaves time to be served.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             self.acquire(room, f"t{number}")
         waiters = [
@@ -59,7 +59,7 @@
 
     def test_released_reservation_goes_to_a_waiter(self):
         """A waiting request gets the capacity that another one releases."""
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         taken = [
             room.dispatcher.acquire(
                 samples.make_work(f"t{number}", now=room.ticker.now()),
@@ -88,10 +88,10 @@
         endpoint, the failed one may be used again.
         """
         endpoints = [samples.make_endpoint(name) for name in ("e1", "e2")]
-        room = samples.Room(endpoints)
+        room = samples.DispatcherFixture(endpoints)
         for number in range(3):
             work = samples.make_work(f"t{number}", now=room.ticker.now())
-            room.board.note_sent("e2", work, room.ticker.now())
+            room.board.record_send("e2", work, room.ticker.now())
         route = samples.make_route(objective=0.02)
         work = samples.make_work("r", route, room.ticker.now())
         found = room.dispatcher.acquire(
@@ -108,7 +108,7 @@
 
     def test_no_endpoint_has_its_own_code(self):
         """Without a listed endpoint, the refusal names this cause."""
-        room = samples.Room([])
+        room = samples.DispatcherFixture([])
         route = samples.make_route(objective=0.01)
         work = samples.make_work("r", route, room.ticker.now())
         found = room.dispatcher.acquire(work, samples.ENGINES, frozenset())
@@ -122,7 +122,7 @@
         all requests, the owner would stop answering, and all instances
         would give up on it. Pending changes cause one common scan.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             self.acquire(room, f"t{number}")
         waiter = gevent.spawn(self.acquire, room, "w")
@@ -139,7 +139,7 @@
 
     def test_release_without_waiters_causes_no_match(self):
         """A release without waiting requests does not scan the endpoints."""
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         taken = self.acquire(room, "t")
         looks = []
         room.cluster_state.list_endpoints = lambda service: (
