--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -40,7 +40,7 @@
 SUMMARY_SECONDS = 0.3
 """Pause between two summaries of a data centre for one of the others."""
 
-SUMMARY_SENDERS = 2
+ENVOY_COUNT = 2
 """Instances that tell one data centre of another one. While one of them is
 dead and not yet seen to be, the other one's summaries go on."""
 
@@ -320,9 +320,7 @@
         data_centres = {m.data_centre for m in self._members.values()}
         targets = []
         for data_centre in sorted(data_centres - {self._data_centre}):
-            if self._own in rendezvous.choose(
-                data_centre, names, SUMMARY_SENDERS
-            ):
+            if self._own in rendezvous.choose(data_centre, names, ENVOY_COUNT):
                 targets += self._choose_summary_target(data_centre, now)
         return targets
 
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -83,14 +83,14 @@
             if node not in self.network.dead:
                 self.assertNotIn(self.nodes[40].name, node.list_fresh())
 
-    def test_dead_summary_senders_do_not_isolate_their_data_centre(self):
-        """Both senders of a data centre die; its others stay in reach."""
+    def test_dead_envoys_do_not_isolate_their_data_centre(self):
+        """Both envoys of a data centre die; its others stay in reach."""
         self.network.run(4.0)
         now = self.network.ticker.now()
         place = self.nodes[0].data_centre
         near = [n for n in self.nodes if n.data_centre == place]
-        senders = [n for n in near if n.members.choose_summary_targets(now)]
-        self.network.dead = set(senders[: membership.SUMMARY_SENDERS])
+        envoys = [n for n in near if n.members.choose_summary_targets(now)]
+        self.network.dead = set(envoys[: membership.ENVOY_COUNT])
         self.network.run(3.0)
         alive = [n for n in self.nodes if n not in self.network.dead]
         self.assert_all_in_reach(alive)
@@ -228,18 +228,18 @@
         return node.quotas._buckets["w"].level
 
     def test_what_passes_is_charged_once_everywhere(self):
-        """Two senders that tell the same would use up a limit twice."""
+        """Two envoys that tell the same would use up a limit twice."""
         self.charge(self.nodes[5], 4000.0)
         self.network.run(2.0)
         for node in self.nodes:
             self.assertAlmostEqual(6000.0, self.get_level(node), delta=1.0)
 
-    def test_change_of_summary_senders_counts_units_once(self):
+    def test_change_of_envoys_counts_units_once(self):
         """An envoy dies while units pass; none counts twice or never."""
         near = [n for n in self.nodes if n.data_centre == "dc1"]
         far = next(n for n in self.nodes if n.data_centre == "dc2")
-        believed, _ = far.quotas._usage._believed["dc1"]
-        self.network.dead = {n for n in near if n.name == believed}
+        active, _ = far.quotas._usage._active_envoys["dc1"]
+        self.network.dead = {n for n in near if n.name == active}
         alive = [n for n in near if n not in self.network.dead]
         for number in range(8):
             self.charge(alive[number % len(alive)], 500.0)
