--- a/citronport/scheduler/summary.py
+++ b/citronport/scheduler/summary.py
@@ -1,4 +1,4 @@
-"""What an instance tells the others of itself."""
+"""Load summary of an instance, sent to the others."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SummarySource:
-    """The parts of a scheduler that a summary is made of."""
+    """Parts of a scheduler that its summary is built from."""
 
     instance: str
     fleet: models.Fleet | None
@@ -23,7 +23,7 @@
 
 
 def make_summary(source: SummarySource, now: float) -> models.InstanceSummary:
-    """Return the summary of an instance; its size grows with the models."""
+    """Return an instance's summary; its size grows with the models served."""
     usage = source.limiter.summarize(now)
     owner = source.owner
     offered = [g for g in source.groups if owner.get_usable(g)]
@@ -34,11 +34,11 @@
         running=tuple(owner.get_running()),
         free={g[1]: _count_free(owner, g) for g in offered},
         floor=source.floor,
-        usage={name: told[0] for name, told in usage.items()},
+        usage={name: used[0] for name, used in usage.items()},
         leaving=source.leaving,
         waits={g[1]: _get_waits(owner, g, now) for g in offered},
-        rates={name: told[1] for name, told in usage.items()},
-        token_rates={name: told[2] for name, told in usage.items()},
+        rates={name: used[1] for name, used in usage.items()},
+        token_rates={name: used[2] for name, used in usage.items()},
     )
 
 
