--- a/citronport/relay/cluster_state.py
+++ b/citronport/relay/cluster_state.py
@@ -70,17 +70,17 @@
         self,
         changes: collections.abc.Iterable[wire.Item],
         now: float,
-        returned: float,
+        recovered_at: float,
     ) -> None:
         """Apply changes of the store.
 
         Args:
             changes: the changed items.
             now: clock time, seconds.
-            returned: clock time at which the store recovered from its last
+            recovered_at: clock time at which the store recovered from its last
                 outage, seconds; minus infinity if there was none.
         """
-        lapsing = now - returned < OUTAGE_RECOVERY_SECONDS
+        lapsing = now - recovered_at < OUTAGE_RECOVERY_SECONDS
         for item in changes:
             if item.key == const.KEY_CONFIGURATION:
                 self._apply_configuration(item)
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -90,7 +90,7 @@
         self._started = ticker.now()
         self.counts = metrics.Counts()
         self._stopped = gevent_event.Event()
-        self.board = load_tracker.LoadTracker()
+        self.loads = load_tracker.LoadTracker()
         self.health = health_module.Health()
         self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
@@ -115,14 +115,14 @@
             ticker,
             self._handle_store_changes,
             self._log,
-            self._find_store_age,
+            self._compute_standby_age,
             self._is_reader,
         )
         self.dispatcher = dispatcher_module.Dispatcher(
             settings.instance,
             self.cluster_state,
             self.members,
-            self.board,
+            self.loads,
             self.health,
             self.cold,
             self.limits,
@@ -132,7 +132,7 @@
             settings,
             self._incarnation,
             self.members,
-            self.board,
+            self.loads,
             self.quotas,
             self.suspects,
             self.limits,
@@ -148,7 +148,7 @@
             settings.data_centre,
             self.members,
             self.quotas,
-            self.board.profiles,
+            self.loads.profiles,
             self.suspects,
             self.limits,
             self.reports.make,
@@ -159,7 +159,7 @@
             ticker,
             self.reports.make,
             self._handle_report,
-            self._handle_leasing,
+            self._handle_lease_message,
             self.summaries,
             self._log,
         )
@@ -178,7 +178,7 @@
             self.members,
             self.cluster_state,
             self.dispatcher,
-            self.board,
+            self.loads,
             self.health,
             self.is_ready,
             self.gossip.send_lease_message,
@@ -190,7 +190,7 @@
             jobs.RelayContext(
                 self.cluster_state,
                 self.dispatcher,
-                self.board,
+                self.loads,
                 self.health,
                 self.limits,
                 self.suspects,
@@ -374,10 +374,10 @@
         self.reports.apply(report)
         self.dispatcher.schedule_match()
 
-    def _handle_leasing(self, message: messages.LeaseMessage) -> None:
+    def _handle_lease_message(self, message: messages.LeaseMessage) -> None:
         self.leasing.handle(message)
 
-    def _find_store_age(self) -> float | None:
+    def _compute_standby_age(self) -> float | None:
         now = self._ticker.now()
         return follower_module.compute_standby_age(
             self._settings.instance,
@@ -395,10 +395,12 @@
         self.gossip.announce_changes()
 
     def _apply_changes(
-        self, changes: list[wire_models.Item], returned: float
+        self, changes: list[wire_models.Item], recovered_at: float
     ) -> None:
         now = self._ticker.now()
-        self.follower.recovered_at = max(self.follower.recovered_at, returned)
+        self.follower.recovered_at = max(
+            self.follower.recovered_at, recovered_at
+        )
         self.cluster_state.apply(changes, now, self.follower.recovered_at)
         self._callers.tracker.limits = listeners.make_limits(
             self._settings, self.cluster_state.configuration
@@ -441,7 +443,7 @@
         )
 
     def _forget_endpoint(self, name: str) -> None:
-        self.board.forget(name)
+        self.loads.forget(name)
         self.health.forget(name)
         self.cold.forget(name)
         self.limits.forget(name)
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -28,7 +28,7 @@
 """Interval at which queued requests are matched without another trigger. No
 event signals that a suspect or cold endpoint may be used again."""
 
-SHARE_CACHE_SECONDS = 0.05
+ROLE_CACHE_SECONDS = 0.05
 """How long the list of instances is cached. Reports that change it arrive at
 intervals of 0.1 s or more, and choosing an endpoint takes less time than
 building the list of ninety instances."""
@@ -43,23 +43,23 @@
     """Capacity of an endpoint that is reserved for one request.
 
     Attributes:
-        place: the endpoint with its expected time and cost.
-        run: record of the request in the load table.
+        placement: the endpoint with its expected time and cost.
+        run: record of the request in the load tracker.
         load: requests known to be at the endpoint, including this one.
-        pace: known pace of the endpoint.
+        step_ms: known step time of the endpoint, milliseconds.
         leased: whether another instance granted the reservation.
     """
 
-    place: selection.Placement
+    placement: selection.Placement
     run: runs.Run
     load: int
-    pace: float
+    step_ms: float
     leased: bool = False
 
     @property
     def endpoint(self) -> models.Endpoint:
         """Endpoint that the request is sent to."""
-        return self.place.endpoint
+        return self.placement.endpoint
 
 
 class Dispatcher:
@@ -69,7 +69,7 @@
         own: name of this instance.
         cluster_state: current configuration and endpoints.
         members: the other instances.
-        board: loads and paces of endpoints.
+        loads: loads and step times of endpoints.
         health: health of endpoints.
         cold: endpoints that are cold.
         limits: rate limits announced by endpoints.
@@ -85,7 +85,7 @@
         own: str,
         cluster_state: cluster_state_module.ClusterState,
         members: membership_module.Membership,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
         cold: cold_starts.ColdStarts,
         limits: endpoint_limits.EndpointLimits,
@@ -94,16 +94,16 @@
         self._own = own
         self._cluster_state = cluster_state
         self._members = members
-        self._board = board
+        self._loads = loads
         self._health = health
         self._cold = cold
         self._limits = limits
         self._ticker = ticker
-        self._selector = selection.Selector(board, health, cold, limits)
+        self._selector = selection.Selector(loads, health, cold, limits)
         self._queues: dict[str, wait_queue.WaitQueue] = {}
         self._match_scheduled = False
-        self._share: roles.Role = roles.Sender(own, (own,))
-        self._share_until = float("-inf")
+        self._role: roles.Role = roles.Sender(own, (own,))
+        self._role_until = float("-inf")
         self._instance_count = 1
         self._is_majority = False
         self.owners: owners_module.Owners | None = None
@@ -171,8 +171,8 @@
         if not known or not endpoints:
             # There is no data to base a forecast on.
             return 0.0
-        places = self._selector.compute_slot_rate(known, endpoints)
-        return queue.estimate_wait(waiter, places, now)
+        slot_rate = self._selector.compute_slot_rate(known, endpoints)
+        return queue.estimate_wait(waiter, slot_rate, now)
 
     def cancel(self, waiter: wait_queue.Waiter, service: str) -> None:
         """Remove a request from the queue."""
@@ -192,7 +192,7 @@
                 reservation.endpoint.name, reservation.run
             )
             return
-        self._board.record_end(
+        self._loads.record_end(
             reservation.endpoint.name, request_id, self._ticker.now()
         )
         self.schedule_match()
@@ -250,7 +250,7 @@
     ) -> Reservation | None:
         name = granted.endpoint
         now = self._ticker.now()
-        run = self._board.record_leased_send(name, work, now)
+        run = self._loads.record_leased_send(name, work, now)
         endpoint = self._cluster_state.endpoints.get(name)
         if endpoint is None:
             # The owner's copy of the store is newer or older than the one
@@ -260,14 +260,14 @@
         self._cold.record_send(name, now)
         self._limits.record_send(name)
         self._health.record_send(name)
-        place = selection.Placement(
+        placement = selection.Placement(
             endpoint=endpoint, seconds=granted.seconds, cost=granted.seconds
         )
         return Reservation(
-            place=place,
+            placement=placement,
             run=run,
             load=granted.load,
-            pace=granted.pace / 1e6,
+            step_ms=granted.pace / 1e6,
             leased=True,
         )
 
@@ -296,7 +296,7 @@
         sample_size = selection.compute_sample_size(
             len(endpoints), self._instance_count
         )
-        share = self._get_share(now)
+        role = self._get_role(now)
         owned_seconds = (
             self.owners.get_owned_seconds(service.name, now)
             if self.owners
@@ -311,16 +311,16 @@
                 owned_seconds > cold_starts.WINDOW_SECONDS
                 and self._is_majority
             ):
-                share = roles.Owner()
+                role = roles.Owner()
         usable = [
             e
             for e in endpoints
-            if self._selector.has_capacity(e, service, share, now)
+            if self._selector.has_capacity(e, service, role, now)
         ]
         return _ServiceView(
             endpoints=usable,
             listed=frozenset(e.name for e in endpoints),
-            share=share,
+            role=role,
             sample_size=sample_size,
         )
 
@@ -328,22 +328,22 @@
         """Return the expected time from send to first event, seconds."""
         if not work.prompt_tokens:
             return 0.0
-        profile = self._board.profiles.get(service)
-        step = self._board.get_typical_step_ms() * runs.SECONDS_PER_MS
+        profile = self._loads.profiles.get(service)
+        step = self._loads.get_typical_step_ms() * runs.SECONDS_PER_MS
         return step * (
             profile.base_steps + profile.steps_per_token * work.prompt_tokens
         )
 
-    def _get_share(self, now: float) -> roles.Role:
-        if now >= self._share_until:
+    def _get_role(self, now: float) -> roles.Role:
+        if now >= self._role_until:
             instances = self._members.list_known(now)
-            self._share = roles.Sender(self._own, instances)
-            self._share_until = now + SHARE_CACHE_SECONDS
+            self._role = roles.Sender(self._own, instances)
+            self._role_until = now + ROLE_CACHE_SECONDS
             self._instance_count = len(instances)
             self._is_majority = (
                 self._members.compute_reach(now) > quota.MAJORITY
             )
-        return self._share
+        return self._role
 
     def _reserve(
         self,
@@ -357,26 +357,26 @@
             seen = view.endpoints
         if not waiter.leased and view.sample_size < len(seen):
             seen = random.sample(seen, view.sample_size)
-        place = self._selector.choose(waiter.work, service, seen, now)
-        if place is None:
+        placement = self._selector.choose(waiter.work, service, seen, now)
+        if placement is None:
             return None
-        name = place.endpoint.name
+        name = placement.endpoint.name
         self._cold.record_send(name, now)
         self._limits.record_send(name)
         self._health.record_send(name)
-        is_free = self._board.count_requests(name) < place.endpoint.slots
-        run = self._board.record_send(
+        is_free = self._loads.count_requests(name) < placement.endpoint.slots
+        run = self._loads.record_send(
             name, waiter.work, now, service.name if is_free else ""
         )
         if not self._selector.has_capacity(
-            place.endpoint, service, view.share, now
+            placement.endpoint, service, view.role, now
         ):
-            view.endpoints.remove(place.endpoint)
+            view.endpoints.remove(placement.endpoint)
         return Reservation(
-            place=place,
+            placement=placement,
             run=run,
-            load=self._board.get_load(name).requests,
-            pace=self._board.get_step_ms(name),
+            load=self._loads.get_load(name).requests,
+            step_ms=self._loads.get_step_ms(name),
         )
 
     def _refuse(
@@ -406,12 +406,13 @@
         endpoints: endpoints with free capacity; one that fills up is
             removed.
         listed: names of all endpoints of the service, including full ones.
-        share: share of cold and limited endpoints that this instance may use.
+        role: role of this instance, which sets its share of cold and limited
+            endpoints.
         sample_size: number of randomly drawn endpoints that one choice
             compares.
     """
 
     endpoints: list[models.Endpoint]
     listed: frozenset[str]
-    share: roles.Role
+    role: roles.Role
     sample_size: int
--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -52,7 +52,7 @@
     Args:
         cluster_state: current configuration and endpoints.
         dispatcher: reserves endpoint capacity.
-        board: loads and paces of endpoints.
+        loads: loads and step times of endpoints.
         health: health of endpoints.
         limits: rate limits announced by endpoints.
         suspects: requests that coincided with terminated endpoints.
@@ -67,7 +67,7 @@
         self,
         cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
         limits: endpoint_limits.EndpointLimits,
         suspects: suspects_module.SuspectRequests,
@@ -79,7 +79,7 @@
     ) -> None:
         self.cluster_state = cluster_state
         self.dispatcher = dispatcher
-        self.board = board
+        self.loads = loads
         self.health = health
         self.limits = limits
         self.suspects = suspects
--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -51,7 +51,7 @@
     Args:
         own: name of this instance.
         owners: owners of the endpoints.
-        board: paces of endpoints and leased requests.
+        loads: step times of endpoints and leased requests.
         tell: sends a message to the named instance.
         ticker: the clock.
         log: the event log.
@@ -61,14 +61,14 @@
         self,
         own: str,
         owners: owners_module.Owners,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
         self._own = own
         self._owners = owners
-        self._board = board
+        self._loads = loads
         self._tell = tell
         self._ticker = ticker
         self._log = log
@@ -138,7 +138,7 @@
 
     def release(self, endpoint: str, run: runs.Run) -> None:
         """Return a lease and report how the endpoint performed."""
-        self._board.record_leased_end(endpoint, run.request_id)
+        self._loads.record_leased_end(endpoint, run.request_id)
         grant = self._grants.pop((run.request_id, endpoint), None)
         if grant is None:
             return
@@ -150,7 +150,7 @@
         """Tell each owner which of its leases this instance holds."""
         now = self._ticker.now()
         held: dict[str, list[tuple[str, str, int]]] = {}
-        for endpoint, run in self._board.list_leased():
+        for endpoint, run in self._loads.list_leased():
             grant = self._grants.get((run.request_id, endpoint))
             if grant is None:
                 continue
@@ -158,9 +158,11 @@
                 self._owners.find_endpoint_owner(grant[0], endpoint, now)
                 or grant[1]
             )
-            unread = run.prompt_tokens if run.first_event_at is None else 0
+            prefill_tokens = (
+                run.prompt_tokens if run.first_event_at is None else 0
+            )
             held.setdefault(owner, []).append(
-                (run.request_id, endpoint, unread)
+                (run.request_id, endpoint, prefill_tokens)
             )
         for owner, leases in held.items():
             holding = messages.Holding(
@@ -269,14 +271,14 @@
         endpoint: str,
         run: runs.Run | None = None,
     ) -> messages.Ended:
-        pace = self._board.get_own_step_ms(endpoint) or 0.0
+        step_ms = self._loads.get_own_step_ms(endpoint) or 0.0
         return messages.Ended(
             protocol=messages.PROTOCOL,
             instance=self._own,
             request=request_id,
             endpoint=endpoint,
             verdict=int(run.verdict if run else runs.Verdict.NOTHING),
-            pace=int(pace * 1e6)
+            pace=int(step_ms * 1e6)
             if run and run.first_event_at is not None
             else 0,
             seconds=run.answer_seconds if run else 0.0,
--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -54,7 +54,7 @@
         dispatcher: reserves capacity and queues requests.
         leases: granted leases.
         cluster_state: current configuration and endpoints.
-        board: paces of endpoints.
+        loads: step times of endpoints.
         health: health of endpoints.
         tell: sends a message to the named instance.
         ticker: the clock.
@@ -66,7 +66,7 @@
         dispatcher: dispatcher_module.Dispatcher,
         leases: leases_module.Leases,
         cluster_state: cluster_state_module.ClusterState,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
         tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
@@ -75,7 +75,7 @@
         self._dispatcher = dispatcher
         self._leases = leases
         self._cluster_state = cluster_state
-        self._board = board
+        self._loads = loads
         self._health = health
         self._tell = tell
         self._ticker = ticker
@@ -129,9 +129,11 @@
         """Renew the leases that an instance holds."""
         held = [
             leases_module.HeldLease(
-                request_id=request, endpoint=endpoint, prefill_tokens=unread
+                request_id=request,
+                endpoint=endpoint,
+                prefill_tokens=prefill_tokens,
             )
-            for request, endpoint, unread in holding.leases
+            for request, endpoint, prefill_tokens in holding.leases
         ]
         self._leases.renew(holding.instance, held, self._ticker.now())
         self._dispatcher.schedule_match()
@@ -183,9 +185,9 @@
             instance=self._own,
             request=ask.request,
             endpoint=name,
-            seconds=reservation.place.seconds,
-            load=self._board.get_load(name).requests,
-            pace=int(self._board.get_step_ms(name) * 1e6),
+            seconds=reservation.placement.seconds,
+            load=self._loads.get_load(name).requests,
+            pace=int(self._loads.get_step_ms(name) * 1e6),
         )
         self._granted[ask.request] = granted
         self._tell(ask.instance, granted)
@@ -205,9 +207,9 @@
         if name not in self._cluster_state.endpoints:
             return
         if ended.pace:
-            self._board.apply_step_ms(ended.instance, name, ended.pace / 1e6)
+            self._loads.apply_step_ms(ended.instance, name, ended.pace / 1e6)
         if ended.seconds:
-            self._board.record_answer_seconds(name, ended.seconds)
+            self._loads.record_answer_seconds(name, ended.seconds)
         match ended.verdict:
             case runs.Verdict.GOOD:
                 self._health.record_answer(name, True, now)
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -33,7 +33,7 @@
         members: the other instances.
         cluster_state: current configuration and endpoints.
         dispatcher: reserves capacity; leasing is enabled in it.
-        board: loads and paces of endpoints.
+        loads: loads and step times of endpoints.
         health: health of endpoints.
         is_ready: returns whether this instance may own endpoints.
         tell: sends a message to the named instance.
@@ -48,7 +48,7 @@
         members: membership_module.Membership,
         cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
         is_ready: collections.abc.Callable[[], bool],
         tell: messages.SendLeaseMessage,
@@ -66,15 +66,15 @@
             self._on_owner_change,
         )
         self.lease_client = lease_client_module.LeaseClient(
-            own, self.owners, board, tell, ticker, log
+            own, self.owners, loads, tell, ticker, log
         )
-        self.leases = leases_module.Leases(board)
+        self.leases = leases_module.Leases(loads)
         self.lease_server = lease_server_module.LeaseServer(
             own,
             dispatcher,
             self.leases,
             cluster_state,
-            board,
+            loads,
             health,
             tell,
             ticker,
--- a/citronport/relay/progress.py
+++ b/citronport/relay/progress.py
@@ -62,9 +62,9 @@
             prompt=job.work.prompt_tokens,
             output=job.work.output_tokens,
             hint=job.work.expected_tokens,
-            expected=reservation.place.seconds,
+            expected=reservation.placement.seconds,
             load=reservation.load,
-            pace=reservation.pace,
+            pace=reservation.step_ms,
             leased=reservation.leased,
             fingerprint=job.fingerprint,
         )
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -231,7 +231,7 @@
         now = self._context.ticker.now()
         good = answer.status < 500
         self._record_health(good, now)
-        self._context.board.record_answer(
+        self._context.loads.record_answer(
             self._reservation.endpoint.name, self._reservation.run, now
         )
         headers = list(answer.headers)
@@ -284,7 +284,7 @@
             self._job.service
         )
         engine = service.engine if service else None
-        self._context.board.record_events(
+        self._context.loads.record_events(
             reservation.endpoint.name,
             reservation.run,
             events.count(EVENT_END),
