--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -1,4 +1,4 @@
-"""Wiring of an instance that sends by itself; nothing is decided here."""
+"""Wires the components of an instance; holds no scheduling logic."""
 
 import pathlib
 import secrets
@@ -22,8 +22,8 @@
 from citronport.relay import dispatcher as dispatcher_module
 from citronport.relay import eventlog
 from citronport.relay import events
-from citronport.relay import fleet as fleet_module
 from citronport.relay import follower as follower_module
+from citronport.relay import gossip as gossip_module
 from citronport.relay import jobs
 from citronport.relay import leasing as leasing_module
 from citronport.relay import listeners
@@ -31,45 +31,45 @@
 from citronport.relay import messages
 from citronport.relay import metrics
 from citronport.relay import mirror as mirror_module
-from citronport.relay import news as news_module
+from citronport.relay import replication as replication_module
 from citronport.relay import reports
 from citronport.relay import settings as settings_module
 from citronport.relay import summaries
-from citronport.scheduler.direct import board as board_module
-from citronport.scheduler.direct import cold as cold_module
+from citronport.scheduler.direct import cold_starts
 from citronport.scheduler.direct import endpoint_limits
 from citronport.scheduler.direct import health as health_module
+from citronport.scheduler.direct import load_tracker
 from citronport.scheduler.direct import quota
-from citronport.scheduler.direct import ranking
+from citronport.scheduler.direct import rendezvous
 from citronport.scheduler.direct import retries
 from citronport.scheduler.direct import suspects as suspects_module
 
 LOG = "relay:"
 
 DRAIN_ACCEPT_SECONDS = 2.5
-"""How long an instance that leaves takes new work: callers keep the answer
-of a lookup for two seconds, and new answers name others at once."""
+"""How long a stopping instance still accepts requests. Callers cache a lookup
+response for two seconds; new lookup responses omit the instance at once."""
 
 PEER_DISCOVERY_SECONDS = 0.6
-"""How long an instance that has just started waits at most until it knows
-the others; it may be the only one."""
+"""Longest time after a start to wait for the other instances to be known.
+There may be none."""
 
 EXIT_MARGIN_SECONDS = 0.7
-"""Time before the kill at which the process ends at the latest."""
+"""Time left between the latest exit of the process and its forced kill."""
 
 SWEEP_INTERVAL_SECONDS = 0.25
-"""Pause between two looks at what has run out."""
+"""Interval between two removals of expired state."""
 
 SETTINGS_POLL_SECONDS = 2.0
-"""Pause between two looks at whether the settings file has changed."""
+"""Interval between two checks of the settings file for changes."""
 
 
 class Instance:
-    """One entry instance that sends requests to endpoints by itself.
+    """An instance that accepts callers' requests and sends them to endpoints.
 
     Args:
-        path: the settings file, read again when it changes.
-        settings: what it held at the start.
+        path: the settings file; reloaded when it changes.
+        settings: settings read from it at the start.
         ticker: the clock.
     """
 
@@ -90,11 +90,11 @@
         self._started = ticker.now()
         self.counts = metrics.Counts()
         self._stopped = gevent_event.Event()
-        self.board = board_module.Board()
+        self.loads = load_tracker.LoadTracker()
         self.health = health_module.Health()
-        self.cold = cold_module.ColdStarts()
+        self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
-        self.suspects = suspects_module.Suspects()
+        self.suspects = suspects_module.SuspectRequests()
         self.quotas = quota.Quotas(
             settings.bounds.limit_over,
             settings.bounds.limit_slack,
@@ -109,20 +109,20 @@
         )
         self.follower = follower_module.Follower(
             store_client.Client(
-                str(settings.store), follower_module.ANSWER_SECONDS
+                str(settings.store), follower_module.ANSWER_TIMEOUT_SECONDS
             ),
             self.mirror,
             ticker,
             self._handle_store_changes,
             self._log,
-            self._find_store_age,
+            self._compute_standby_age,
             self._is_reader,
         )
         self.dispatcher = dispatcher_module.Dispatcher(
             settings.instance,
             self.cluster_state,
             self.members,
-            self.board,
+            self.loads,
             self.health,
             self.cold,
             self.limits,
@@ -132,7 +132,7 @@
             settings,
             self._incarnation,
             self.members,
-            self.board,
+            self.loads,
             self.quotas,
             self.suspects,
             self.limits,
@@ -148,22 +148,22 @@
             settings.data_centre,
             self.members,
             self.quotas,
-            self.board.profiles,
+            self.loads.profiles,
             self.suspects,
             self.limits,
             self.reports.make,
         )
-        self.fleet = fleet_module.Fleet(
+        self.gossip = gossip_module.Gossip(
             settings,
             self.members,
             ticker,
             self.reports.make,
             self._handle_report,
-            self._handle_leasing,
+            self._handle_lease_message,
             self.summaries,
             self._log,
         )
-        self.news = news_module.News(
+        self.replication = replication_module.Replication(
             settings,
             self.members,
             self.mirror,
@@ -178,10 +178,10 @@
             self.members,
             self.cluster_state,
             self.dispatcher,
-            self.board,
+            self.loads,
             self.health,
             self.is_ready,
-            self.fleet.tell,
+            self.gossip.send_lease_message,
             ticker,
             self._log,
         )
@@ -190,7 +190,7 @@
             jobs.RelayContext(
                 self.cluster_state,
                 self.dispatcher,
-                self.board,
+                self.loads,
                 self.health,
                 self.limits,
                 self.suspects,
@@ -202,10 +202,13 @@
             ),
             self.quotas,
             lambda: self.members.compute_reach(ticker.now()),
-            lambda: max(fleet_module.REPORT_SECONDS, self.members.get_lag()),
+            lambda: max(
+                gossip_module.REPORT_SECONDS,
+                self.members.get_propagation_seconds(),
+            ),
             lambda: self._leaving,
             lambda: self._closing,
-            lambda: ticker.now() - self.follower.answered,
+            lambda: ticker.now() - self.follower.answered_at,
             self._is_discovering_peers,
             ticker,
         )
@@ -215,7 +218,7 @@
         self._tasks = tasks.Supervisor(ticker, self._log_task_death)
 
     def serve(self) -> None:
-        """Run until a stop is ordered and the work in progress is done."""
+        """Run until a stop is requested and running requests are finished."""
         gevent.signal_handler(signal.SIGTERM, self.stop)
         gevent.signal_handler(signal.SIGHUP, self.reload)
         self._tasks.report_unhandled()
@@ -224,8 +227,8 @@
                 incarnation=self._incarnation, version=const.VERSION
             )
         )
-        self.fleet.open()
-        self.news.open()
+        self.gossip.open()
+        self.replication.open()
         servers = self._make_servers()
         for server in servers:
             server.start()
@@ -235,16 +238,16 @@
         self._log.write(events.Stopped(requests=self.application.running))
 
     def stop(self) -> None:
-        """Order a graceful shutdown; a second order changes nothing."""
+        """Start a graceful shutdown; further calls have no effect."""
         if self._leaving:
             return
         self._leaving = True
         self._log.write(events.Leaving(requests=self.application.running))
-        self.fleet.send(self.reports.make())
+        self.gossip.send_report(self.reports.make())
         self._stopped.set()
 
     def reload(self) -> None:
-        """Read the settings file again; what is wrong changes nothing."""
+        """Reload the settings file; keep the current settings if invalid."""
         match settings_module.read_settings(self._path):
             case result.Err(reason):
                 fault = int(errors.InputFault.BAD_SETTINGS)
@@ -255,15 +258,15 @@
                 )
             case result.Ok(settings):
                 self._settings = settings
-                self.fleet.use(settings)
-                self.reports.use(settings)
+                self.gossip.update_settings(settings)
+                self.reports.update_settings(settings)
                 self._budgets.clear()
                 self._log.write(
                     events.SettingsReloaded(accepted=True, detail="")
                 )
 
     def is_ready(self) -> bool:
-        """Return whether callers should come here."""
+        """Return whether callers should use this instance."""
         ready = (
             self.cluster_state.configuration is not None
             and not self._leaving
@@ -277,37 +280,38 @@
     def list_addresses(self, caller: str) -> tuple[str, ...]:
         """Return the addresses that a caller should use.
 
-        Load: hundreds of instances, of which an answer may name a few.
-        Harm: given all, each caller keeps the first ones, which carry the
-        whole load while the others idle. Every caller has its own few, the
-        same ones whichever instance it asks, so that it can keep its
-        connections.
+        With hundreds of instances, a lookup response names only a few. If
+        all callers got the same list, each would use its first addresses,
+        and those instances would carry the whole load while the others
+        idle. Each caller therefore gets a subset of its own, which is the
+        same whichever instance it asks, so that it can reuse connections.
 
         Args:
-            caller: its address.
+            caller: address of the caller.
         """
         now = self._ticker.now()
         capacities = {
-            r.callers: r.capacity for r in self.members.list_usable(now)
+            r.caller_address: r.capacity for r in self.members.list_usable(now)
         }
         if self.is_ready():
             own = self._settings
             capacities[str(own.callers)] = own.capacity
         return tuple(
             sorted(
-                ranking.choose_by_weight(
+                rendezvous.choose_by_weight(
                     caller, capacities, store_const.LOOKUP_ADDRESSES
                 )
             )
         )
 
     def _is_discovering_peers(self) -> bool:
-        """Return whether requests should wait until the others are known.
+        """Return whether requests should wait for peer discovery.
 
-        Load: all instances start again at once, and the callers of two
-        seconds come back to the first ones. Harm: one that knows nobody
-        takes all endpoints for its own. A hundred of them fill each engine
-        many times over, which turns away what could have waited a moment.
+        When all instances restart at once, two seconds' worth of callers
+        retry at the first ones that are up. An instance that knows no peers
+        assumes that it has all endpoints to itself; a hundred such
+        instances overfill each engine many times over, and the engines
+        reject requests that could have waited for a moment.
         """
         now = self._ticker.now()
         if now - self._started >= PEER_DISCOVERY_SECONDS:
@@ -328,10 +332,10 @@
     def _start_tasks(self) -> None:
         keep = self._tasks.keep
         keep("follower", self.follower.follow)
-        keep("receiver", self.fleet.receive)
-        keep("reporter", self.fleet.report_again_and_again)
-        keep("envoy", self.fleet.summarize_again_and_again)
-        keep("catch-up", self.news.catch_up)
+        keep("receiver", self.gossip.receive)
+        keep("reporter", self.gossip.report_forever)
+        keep("envoy", self.gossip.summarize_forever)
+        keep("catch-up", self.replication.catch_up)
         keep("dispatcher", self.dispatcher.run_match_loop)
         keep("renewer", self.leasing.run_renewal_loop)
         keep("sweeper", self._run_sweeper)
@@ -347,14 +351,14 @@
             if not self.application.running and self._callers.is_idle():
                 break
             self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
-        self.news.close()
+        self.replication.close()
 
     def _run_sweeper(self) -> None:
         while True:
             self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
             self.cluster_state.sweep(self._ticker.now())
             self.leasing.lease_server.sweep()
-            self.suspects.sweep(self._ticker.now())
+            self.suspects.remove_expired(self._ticker.now())
             self.is_ready()
 
     def _watch_settings(self) -> None:
@@ -367,15 +371,15 @@
                 self.reload()
 
     def _handle_report(self, report: messages.Report) -> None:
-        self.reports.take(report)
+        self.reports.apply(report)
         self.dispatcher.schedule_match()
 
-    def _handle_leasing(self, message: messages.Leasing) -> None:
+    def _handle_lease_message(self, message: messages.LeaseMessage) -> None:
         self.leasing.handle(message)
 
-    def _find_store_age(self) -> float | None:
+    def _compute_standby_age(self) -> float | None:
         now = self._ticker.now()
-        return follower_module.rest(
+        return follower_module.compute_standby_age(
             self._settings.instance,
             self.members.list_known(now),
             [r.store_seconds for r in self.members.list_fresh(now)],
@@ -387,15 +391,17 @@
         return self._settings.instance in readers
 
     def _handle_store_changes(self, changes: list[wire_models.Item]) -> None:
-        self._apply_changes(changes, self.follower.returned)
-        self.fleet.tell_news()
+        self._apply_changes(changes, self.follower.recovered_at)
+        self.gossip.announce_changes()
 
     def _apply_changes(
-        self, changes: list[wire_models.Item], returned: float
+        self, changes: list[wire_models.Item], recovered_at: float
     ) -> None:
         now = self._ticker.now()
-        self.follower.returned = max(self.follower.returned, returned)
-        self.cluster_state.apply(changes, now, self.follower.returned)
+        self.follower.recovered_at = max(
+            self.follower.recovered_at, recovered_at
+        )
+        self.cluster_state.apply(changes, now, self.follower.recovered_at)
         self._callers.tracker.limits = listeners.make_limits(
             self._settings, self.cluster_state.configuration
         )
@@ -414,22 +420,22 @@
             peers=len(fresh),
             known=len(self.members.list_known(now)),
             configuration=configuration.version if configuration else 0,
-            store_seconds=now - self.follower.answered,
+            store_seconds=now - self.follower.answered_at,
             store_revision=self.mirror.revision,
             store_calls=self.follower.calls,
             store_failures=self.follower.failures,
             summaries_made=self.summaries.made,
             summaries_taken=self.summaries.taken,
-            news_taken=self.news.taken,
-            news_failed=self.news.failed,
-            news_received=self.news.received,
-            news_behind_seconds=self.news.get_behind_seconds(),
+            news_taken=self.replication.taken,
+            news_failed=self.replication.failed,
+            news_received=self.replication.received,
+            news_behind_seconds=self.replication.get_behind_seconds(),
             endpoints=len(self.cluster_state.endpoints),
             cold=sum(
                 self.cold.is_cold(name, now)
                 for name in self.cluster_state.endpoints
             ),
-            limited=self.limits.count(),
+            limited=self.limits.count_limited(),
             leases=len(self.leasing.leases),
             barred=self.suspects.count_barred(),
             lines_dropped=sum(self._log.dropped.values()),
@@ -437,7 +443,7 @@
         )
 
     def _forget_endpoint(self, name: str) -> None:
-        self.board.forget(name)
+        self.loads.forget(name)
         self.health.forget(name)
         self.cold.forget(name)
         self.limits.forget(name)
@@ -461,7 +467,9 @@
     try:
         status = path.stat()
     except OSError as error:
-        # A file that is being replaced is there again at the next look.
-        logging.warning("%s %s: %s.", LOG, path, error.strerror)
+        # A file that is being replaced exists again at the next check.
+        logging.warning(
+            "%s cannot read settings file %s: %s.", LOG, path, error.strerror
+        )
         return (0, 0)
     return (status.st_mtime_ns, status.st_size)
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -1,4 +1,4 @@
-"""Both sides of leasing: places asked for and places handed out."""
+"""Both sides of leasing: requested leases and granted leases."""
 
 import collections.abc
 
@@ -13,32 +13,32 @@
 from citronport.relay import membership as membership_module
 from citronport.relay import messages
 from citronport.relay import owners as owners_module
-from citronport.scheduler.direct import board as board_module
 from citronport.scheduler.direct import health as health_module
 from citronport.scheduler.direct import leases as leases_module
+from citronport.scheduler.direct import load_tracker
 
 
 class Leasing:
-    """Hands messages on leases to the side that they are for.
+    """Passes leasing messages to the lease client or the lease server.
 
     Attributes:
-        owners: who hands out what.
-        lease_client: asks for places.
-        lease_server: hands them out.
-        leases: what was handed out.
+        owners: owners of the endpoints.
+        lease_client: requests leases from other instances.
+        lease_server: grants leases to other instances.
+        leases: granted leases.
 
     Args:
         own: name of this instance.
-        capacity: processor cores that it has.
+        capacity: processor cores of this instance.
         members: the other instances.
-        cluster_state: what is in force.
-        dispatcher: finds places; it leases from now on.
-        board: loads and paces.
-        health: which endpoints answer.
-        is_ready: whether this instance may own endpoints.
-        tell: sends a message to an instance, named.
+        cluster_state: current configuration and endpoints.
+        dispatcher: reserves capacity; leasing is enabled in it.
+        loads: loads and step times of endpoints.
+        health: health of endpoints.
+        is_ready: returns whether this instance may own endpoints.
+        tell: sends a message to the named instance.
         ticker: the clock.
-        log: where decisions are told.
+        log: the event log.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
         members: membership_module.Membership,
         cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
-        board: board_module.Board,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
         is_ready: collections.abc.Callable[[], bool],
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
@@ -66,15 +66,15 @@
             self._on_owner_change,
         )
         self.lease_client = lease_client_module.LeaseClient(
-            own, self.owners, board, tell, ticker, log
+            own, self.owners, loads, tell, ticker, log
         )
-        self.leases = leases_module.Leases(board)
+        self.leases = leases_module.Leases(loads)
         self.lease_server = lease_server_module.LeaseServer(
             own,
             dispatcher,
             self.leases,
             cluster_state,
-            board,
+            loads,
             health,
             tell,
             ticker,
@@ -82,8 +82,8 @@
         dispatcher.owners = self.owners
         dispatcher.lease_client = self.lease_client
 
-    def handle(self, message: messages.Leasing) -> None:
-        """Take a message of another instance, or one's own."""
+    def handle(self, message: messages.LeaseMessage) -> None:
+        """Handle a message of another instance or of this one."""
         match message:
             case messages.Ask():
                 self.lease_server.handle_ask(message)
@@ -102,14 +102,14 @@
                 self.lease_client.handle_answer(message)
 
     def _on_owner_change(self) -> None:
-        # A new owner takes full endpoints for idle until it hears what
-        # runs there, and hands out their places once more. Each instance
-        # tells it with its first question, and not up to half a second
-        # later.
+        # Until a new owner learns what runs at its endpoints, it takes full
+        # ones for idle and grants their capacity again. Each instance
+        # therefore reports its leases as soon as it sees the new owner, and
+        # not with the next renewal, up to half a second later.
         gevent.spawn(self.lease_client.renew)
 
     def run_renewal_loop(self) -> None:
-        """Tell owners what this instance holds, for ever."""
+        """Renew the leases of this instance at a fixed interval, forever."""
         while True:
-            self._ticker.sleep(leases_module.RENEW_SECONDS)
+            self._ticker.sleep(leases_module.RENEW_INTERVAL_SECONDS)
             self.lease_client.renew()
--- a/citronport/scheduler/queue.py
+++ b/citronport/scheduler/queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait, by tier, then weighted fair between workspaces."""
+"""Queue of requests: by tier, then weighted fair between workspaces."""
 
 import collections
 import collections.abc
@@ -8,44 +8,44 @@
 from citronport.scheduler import models
 
 Group = tuple[models.Kind, str]
-"""What a request needs: kind of endpoint and model."""
+"""Endpoint kind and model that a request needs."""
 
 
 def get_group(request: models.Request) -> Group:
-    """Return what a request needs."""
+    """Return the endpoint kind and model that a request needs."""
     return request.kind, request.model
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class QueuedRequest:
-    """A request that waits.
+    """A queued request.
 
     Attributes:
         request: the request.
-        queued_at: when it began to wait, clock seconds.
-        cost: expected work, seconds of a usual endpoint.
+        queued_at: time at which it was queued, clock seconds.
+        cost_seconds: expected work, seconds of a mean endpoint.
         forwarded: whether another instance sent it here.
-        start_tag: start tag of the fair queue.
+        start_tag: start tag in the fair queue.
         failed_dispatches: dispatches that failed before a byte was sent.
     """
 
     request: models.Request
     queued_at: float
-    cost: float
+    cost_seconds: float
     forwarded: bool = False
     start_tag: float = 0.0
     failed_dispatches: int = 0
 
 
 class Queue:
-    """Start-time fair queueing in each tier.
-
-    Load: one workspace sends most of a tier. Harm: first come, first
-    served gives it most of the service, and the small ones wait behind
-    it. A request's tag is the work that its workspace has been given so
-    far over its weight, so that the one with least service is next; a
-    workspace that comes back starts at the present tag, not at its old
-    one, so that being idle earns no credit.
+    """Start-time fair queueing within each tier.
+
+    If one workspace sends most of a tier's requests, first come, first
+    served gives it most of the service and makes the other workspaces wait
+    behind it. A request's start tag is the work of its workspace so far,
+    divided by the weight, so that the workspace with the least service is
+    next. A workspace that was idle continues at the current virtual time
+    instead of its old tag, so that idle time earns no credit.
     """
 
     def __init__(self) -> None:
@@ -69,23 +69,25 @@
         return request_id in self._by_id
 
     def push(self, waiting: QueuedRequest, weight: float) -> None:
-        """Let a request wait behind its workspace's others."""
+        """Queue a request behind the others of its workspace."""
         request = waiting.request
         key = (request.tier, request.workspace)
         start = max(
             self._virtual_times[request.tier], self._finish_tags.get(key, 0.0)
         )
         waiting.start_tag = start
-        self._finish_tags[key] = start + waiting.cost / max(weight, 1e-6)
+        self._finish_tags[key] = start + waiting.cost_seconds / max(
+            weight, 1e-6
+        )
         workspace_queue = self._queues[get_group(request), request.tier]
         workspace_queue.setdefault(
             request.workspace, collections.deque()
         ).append(waiting)
         self._by_id[request.request_id] = waiting
-        self._add_cost(waiting, waiting.cost)
+        self._add_cost(waiting, waiting.cost_seconds)
 
     def pop(self, request_id: str) -> QueuedRequest | None:
-        """Take a request out, wherever it waits."""
+        """Remove and return a request; None if it is not queued."""
         waiting = self._by_id.pop(request_id, None)
         if waiting is None:
             return None
@@ -98,11 +100,11 @@
             workspace_queue.remove(waiting)
         if not workspace_queue:
             del self._queues[key][request.workspace]
-        self._add_cost(waiting, -waiting.cost)
+        self._add_cost(waiting, -waiting.cost_seconds)
         return waiting
 
     def start(self, request_id: str) -> None:
-        """Take a request out because it starts now."""
+        """Remove a request that starts now and advance the virtual time."""
         waiting = self.pop(request_id)
         if waiting is None:
             return
@@ -114,62 +116,71 @@
     def iterate_heads(
         self, group: Group, tier: int
     ) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield the first of each workspace, least served first."""
-        lines = self._queues.get((group, tier))
-        if not lines:
+        """Yield the first request of each workspace, least served first."""
+        queues = self._queues.get((group, tier))
+        if not queues:
             return
-        heads = [line[0] for line in lines.values()]
+        heads = [queue[0] for queue in queues.values()]
         yield from sorted(heads, key=lambda w: w.start_tag)
 
     def iterate_tails(
         self, group: Group, tier: int
     ) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield the last of each workspace, most served first."""
-        lines = self._queues.get((group, tier))
-        if not lines:
+        """Yield the last request of each workspace, most served first."""
+        queues = self._queues.get((group, tier))
+        if not queues:
             return
-        tails = [line[-1] for line in lines.values()]
+        tails = [queue[-1] for queue in queues.values()]
         yield from sorted(tails, key=lambda w: w.start_tag, reverse=True)
 
     def iterate_all(self) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield a snapshot of all that wait."""
+        """Yield all queued requests from a snapshot."""
         yield from list(self._by_id.values())
 
     def get_groups(self) -> list[tuple[Group, int]]:
-        """Return the groups and tiers in which something waits."""
-        return [key for key, lines in self._queues.items() if lines]
+        """Return the groups and tiers that have queued requests."""
+        return [key for key, queues in self._queues.items() if queues]
 
     def get_cost(self, group: Group, tier: int) -> float:
-        """Return the work that waits in one tier, seconds."""
+        """Return the queued work of one group and tier, seconds."""
         return max(0.0, self._cost[group, tier])
 
     def get_cost_ahead(self, request: models.Request, weight: float) -> float:
-        """Return the work that is served before a new request.
+        """Return the work that is served before a new request, seconds.
 
-        Higher tiers come first whole; in its own tier the others get no
-        more than their shares of what its workspace has waiting.
+        All work of higher tiers is served first. In the request's own tier,
+        each other workspace is served no more than its fair share while the
+        queued work of the request's workspace is served.
         """
         group = get_group(request)
         higher = sum(self.get_cost(group, t) for t in range(request.tier))
-        whole = self.get_cost(group, request.tier)
-        lines = self._queues.get((group, request.tier), {})
-        active = len(lines) + (request.workspace not in lines)
-        own = self._cost_by_workspace[group, request.tier, request.workspace]
-        mean = whole / max(1, len(lines))
-        shared = max(0.0, own) * active / max(weight, 1e-6) + mean
-        return higher + min(whole, shared)
+        tier_cost = self.get_cost(group, request.tier)
+        queues = self._queues.get((group, request.tier), {})
+        active_workspaces = len(queues) + (request.workspace not in queues)
+        own_cost = self._cost_by_workspace[
+            group, request.tier, request.workspace
+        ]
+        mean_cost = tier_cost / max(1, len(queues))
+        fair_cost = (
+            max(0.0, own_cost) * active_workspaces / max(weight, 1e-6)
+            + mean_cost
+        )
+        return higher + min(tier_cost, fair_cost)
 
     def find_evictable(self, tier: int) -> QueuedRequest | None:
-        """Return a request of a lower tier that may make room."""
+        """Return a request of a lower tier that may be evicted.
+
+        The newest request in the longest queue of the lowest tier.
+        """
         for lowest in range(common.TIERS - 1, tier, -1):
-            lines = [
-                line
-                for (_, each), by_workspace in self._queues.items()
-                if each == lowest
-                for line in by_workspace.values()
+            queues = [
+                queue
+                for (_, queue_tier), by_workspace in self._queues.items()
+                if queue_tier == lowest
+                for queue in by_workspace.values()
             ]
-            if lines:
-                return max(lines, key=len)[-1]
+            if queues:
+                return max(queues, key=len)[-1]
         return None
 
     def _add_cost(self, waiting: QueuedRequest, cost: float) -> None:
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Requests get places, wait for them, or are told when to come back."""
+"""Reservations, queueing and refusals by the dispatcher."""
 
 import gevent
 import testtools
@@ -9,16 +9,16 @@
 
 
 class DispatcherTest(testtools.TestCase):
-    """Waiting on the event loop."""
+    """Requests that get reservations, wait for them or are refused."""
 
     def test_refused_with_a_retry_time_after_waiting(self):
-        """A caller meets a full service.
+        """Guards against a request that never gets a final response.
 
-        All places are taken when its request comes. It waits as long as
-        its objective allows and then hears "not run" with a pause, since
-        only a final answer lets the caller turn elsewhere.
+        All capacity of the service is reserved. The request waits as long
+        as its objective allows and is then refused as not run, with a retry
+        time. The caller needs a final response to try elsewhere.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             taken = room.dispatcher.acquire(
                 samples.make_work(f"t{number}", now=room.ticker.now()),
@@ -35,13 +35,13 @@
         self.assertEqual(0, room.dispatcher.count_waiting())
 
     def test_refused_at_once_if_the_wait_would_be_too_long(self):
-        """Load: a service that is full for longer than requests wait.
+        """Guards against a wait that can't succeed.
 
-        Forty requests wait for two places that are held for seconds. The
-        next one hears at once that it has not run and when to come back:
-        no sooner than half a second later, and with time left to be served.
+        Forty requests wait for an endpoint with two slots whose reservations
+        are held for seconds. The next request is refused at once. Its retry
+        time is at least half a second and leaves time to be served.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             self.acquire(room, f"t{number}")
         waiters = [
@@ -58,8 +58,8 @@
         gevent.killall(waiters)
 
     def test_released_reservation_goes_to_a_waiter(self):
-        """A caller waits and gets the place that another gives back."""
-        room = samples.Room([samples.make_endpoint()])
+        """A waiting request gets the capacity that another one releases."""
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         taken = [
             room.dispatcher.acquire(
                 samples.make_work(f"t{number}", now=room.ticker.now()),
@@ -81,16 +81,17 @@
         self.assertEqual("e1", found.endpoint.name)
 
     def test_failed_endpoint_is_not_tried_again_while_others_are_full(self):
-        """A request failed at one endpoint; the other is full.
+        """Guards against a retry at the endpoint that failed the request.
 
-        It waits for the other and does not go back to where it failed,
-        though there is room; with no other listed it may.
+        While another endpoint is listed, the request waits for it, even if
+        it is full and the failed one has free capacity. Without another
+        endpoint, the failed one may be used again.
         """
         endpoints = [samples.make_endpoint(name) for name in ("e1", "e2")]
-        room = samples.Room(endpoints)
+        room = samples.DispatcherFixture(endpoints)
         for number in range(3):
             work = samples.make_work(f"t{number}", now=room.ticker.now())
-            room.board.note_sent("e2", work, room.ticker.now())
+            room.board.record_send("e2", work, room.ticker.now())
         route = samples.make_route(objective=0.02)
         work = samples.make_work("r", route, room.ticker.now())
         found = room.dispatcher.acquire(
@@ -106,21 +107,22 @@
         self.assertEqual("e1", found.endpoint.name)
 
     def test_no_endpoint_has_its_own_code(self):
-        """No endpoint is listed: the caller hears so after its wait."""
-        room = samples.Room([])
+        """Without a listed endpoint, the refusal names this cause."""
+        room = samples.DispatcherFixture([])
         route = samples.make_route(objective=0.01)
         work = samples.make_work("r", route, room.ticker.now())
         found = room.dispatcher.acquire(work, samples.ENGINES, frozenset())
         self.assertEqual(errors.Code.NO_ENDPOINT, found.code)
 
     def test_many_changes_cause_one_match(self):
-        """Load: an owner that hears of a thousand ends a second.
+        """Guards against an owner that stops answering under load.
 
-        Hundreds of requests wait, and each end would make the owner look
-        at all endpoints for all of them: it falls silent, and all who ask
-        it give up on it at once. All news that have come make one look.
+        An owner may receive a thousand released leases a second while
+        hundreds of requests wait. If each release scanned all endpoints for
+        all requests, the owner would stop answering, and all instances
+        would give up on it. Pending changes cause one common scan.
         """
-        room = samples.Room([samples.make_endpoint()])
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         for number in range(3):
             self.acquire(room, f"t{number}")
         waiter = gevent.spawn(self.acquire, room, "w")
@@ -136,8 +138,8 @@
         waiter.kill()
 
     def test_release_without_waiters_causes_no_match(self):
-        """Calm: an end that nobody waits for costs nothing."""
-        room = samples.Room([samples.make_endpoint()])
+        """A release without waiting requests does not scan the endpoints."""
+        room = samples.DispatcherFixture([samples.make_endpoint()])
         taken = self.acquire(room, "t")
         looks = []
         room.cluster_state.list_endpoints = lambda service: (
@@ -148,7 +150,7 @@
         self.assertEqual([], looks)
 
     def acquire(self, room, request_id):
-        """Ask for a place for a request that arrives now."""
+        """Request a reservation for a request that arrives now."""
         return room.dispatcher.acquire(
             samples.make_work(request_id, now=room.ticker.now()),
             samples.ENGINES,
