--- a/citronport/callers/idempotency.py
+++ b/citronport/callers/idempotency.py
@@ -158,8 +158,8 @@
 
         Meant to be called about once per second.
         """
-        self._expire(now)
-        self._trim_answers()
+        self._remove_expired_records(now)
+        self._enforce_answer_budget()
         return [
             record.run
             for record in self._running.values()
@@ -176,7 +176,7 @@
         age = now - self._started - issued
         return 0 <= age <= const.TICKET_LIFETIME_SECONDS
 
-    def _expire(self, now: float) -> None:
+    def _remove_expired_records(self, now: float) -> None:
         # Records are ordered by the end of their run, so each call visits
         # only those that it drops.
         while self._ended:
@@ -194,22 +194,22 @@
         issued = record.issued
         return issued is None or not self._is_ticket_valid(issued, now)
 
-    def _trim_answers(self) -> None:
+    def _enforce_answer_budget(self) -> None:
         # Answers that ended first are dropped first, since repeats mostly
         # arrive within seconds; answers in progress are dropped last.
         while self._kept_answers and self._kept_answers[0].run is None:
             self._kept_answers.popleft()
-        growing = sum(map(_count_bytes, self._running.values()))
-        while self._kept_answers and self._is_over_budget(growing):
+        running_bytes = sum(map(_count_bytes, self._running.values()))
+        while self._kept_answers and self._is_over_budget(running_bytes):
             self._drop_answer(self._kept_answers.popleft())
         for record in self._running.values():
-            if not self._is_over_budget(growing) or record.run is None:
+            if not self._is_over_budget(running_bytes) or record.run is None:
                 return
-            growing -= _count_bytes(record)
+            running_bytes -= _count_bytes(record)
             record.run.forget_answer()
 
-    def _is_over_budget(self, growing: int) -> bool:
-        return self._ended_bytes + growing > self._answer_bytes
+    def _is_over_budget(self, running_bytes: int) -> bool:
+        return self._ended_bytes + running_bytes > self._answer_bytes
 
     def _drop_answer(self, record: _Record) -> None:
         self._ended_bytes -= _count_bytes(record)
--- a/citronport/callers/lookup.py
+++ b/citronport/callers/lookup.py
@@ -92,7 +92,7 @@
             self._get_unreachable(),
             self._is_leaving(),
         )
-        if not _are_same(inputs, self._usable_inputs):
+        if not _are_inputs_equal(inputs, self._usable_inputs):
             self._usable_inputs = inputs
             self._usable = self._select_usable()
         return self._usable
@@ -137,7 +137,7 @@
     def _get_window_size(self, workspace: str, instances: int) -> int:
         fleet = self._published.fleet
         if fleet is not self._weights_fleet:
-            self._weights = sum_weights(fleet)
+            self._weights = sum_workspace_weights(fleet)
             self._weights_fleet = fleet
         total = sum(self._weights.values()) or 1.0
         share = self._weights[workspace] / total
@@ -151,7 +151,7 @@
         )
 
 
-def _are_same(one: tuple[Any, ...], other: tuple[Any, ...]) -> bool:
+def _are_inputs_equal(one: tuple[Any, ...], other: tuple[Any, ...]) -> bool:
     # Published values are large, so they are compared by identity and the
     # rest by value.
     return (
@@ -171,7 +171,9 @@
     return instance.state == models.Service.IN == data_centre_state
 
 
-def sum_weights(fleet: models.Fleet | None) -> collections.Counter[str]:
+def sum_workspace_weights(
+    fleet: models.Fleet | None,
+) -> collections.Counter[str]:
     """Return the weight of each workspace over its catalogue entries."""
     weights: collections.Counter[str] = collections.Counter()
     for entry in fleet.entries.values() if fleet else ():
--- a/citronport/callers/server.py
+++ b/citronport/callers/server.py
@@ -193,7 +193,7 @@
 
     def _refuse(self, refusal: errors.Refusal) -> None:
         with contextlib.suppress(OSError):
-            self.socket.sendall(_render(refusal))
+            self.socket.sendall(_encode_refusal(refusal))
         self._discard_rest()
 
     def _discard_rest(self) -> None:
@@ -241,7 +241,7 @@
         )
         with contextlib.suppress(OSError):
             sock.settimeout(const.DISCARD_TIMEOUT_SECONDS)
-            sock.sendall(_render(refusal))
+            sock.sendall(_encode_refusal(refusal))
         _discard(sock)
         self._open_refusals -= 1
 
@@ -279,7 +279,7 @@
     return fields
 
 
-def _render(refusal: errors.Refusal) -> bytes:
+def _encode_refusal(refusal: errors.Refusal) -> bytes:
     status, headers, data = replies.render_refusal(refusal)
     lines = [f"HTTP/1.1 {status}"]
     lines += [f"{name}: {value}" for name, value in headers]
