--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -121,9 +121,9 @@
         waiter = wait_queue.Waiter(
             work=work, waiting_since=now, tried=tried, handle=woken
         )
-        pause = self.enqueue(waiter, service)
-        if pause is not None:
-            return self._refuse(work, service, pause)
+        retry_seconds = self.enqueue(waiter, service)
+        if retry_seconds is not None:
+            return self._refuse(work, service, retry_seconds)
         try:
             # Not "get": its timeout is indistinguishable from the deadline
             # timeout of the whole request, which must end the request.
@@ -166,12 +166,12 @@
     ) -> float:
         now = self._ticker.now()
         configuration = self._cluster_state.configuration
-        known = configuration and configuration.services.get(service)
+        known_service = configuration and configuration.services.get(service)
         endpoints = self._cluster_state.list_endpoints(service)
-        if not known or not endpoints:
+        if not known_service or not endpoints:
             # There is no data to base a forecast on.
             return 0.0
-        slot_rate = self._selector.compute_slot_rate(known, endpoints)
+        slot_rate = self._selector.compute_slot_rate(known_service, endpoints)
         return queue.estimate_wait(waiter, slot_rate, now)
 
     def cancel(self, waiter: wait_queue.Waiter, service: str) -> None:
@@ -237,8 +237,8 @@
         match self.lease_client.acquire(work, service, tried):
             case messages.Granted() as granted:
                 return self._accept_lease(granted, work, self.lease_client)
-            case lease_client_module.NoCapacity(retry_seconds=pause):
-                return self._refuse(work, service, pause)
+            case lease_client_module.NoCapacity(retry_seconds=retry_seconds):
+                return self._refuse(work, service, retry_seconds)
             case None:
                 return None
 
@@ -274,15 +274,15 @@
     def _match_queue(self, service: str, queue: wait_queue.WaitQueue) -> None:
         now = self._ticker.now()
         configuration = self._cluster_state.configuration
-        known = configuration and configuration.services.get(service)
-        if not known:
+        known_service = configuration and configuration.services.get(service)
+        if not known_service:
             return
-        view = self._make_view(known, now)
+        view = self._make_view(known_service, now)
         if not view.endpoints:
             return
 
         def choose(waiter: wait_queue.Waiter) -> Reservation | None:
-            return self._reserve(waiter, known, view, now)
+            return self._reserve(waiter, known_service, view, now)
 
         matched = queue.match(choose, now, lambda: not view.endpoints)
         for waiter, reservation in matched:
@@ -352,12 +352,14 @@
         view: "_ServiceView",
         now: float,
     ) -> Reservation | None:
-        seen = [e for e in view.endpoints if e.name not in waiter.tried]
-        if not seen and waiter.tried >= view.listed:
-            seen = view.endpoints
-        if not waiter.leased and view.sample_size < len(seen):
-            seen = random.sample(seen, view.sample_size)
-        placement = self._selector.choose(waiter.work, service, seen, now)
+        candidates = [e for e in view.endpoints if e.name not in waiter.tried]
+        if not candidates and waiter.tried >= view.listed:
+            candidates = view.endpoints
+        if not waiter.leased and view.sample_size < len(candidates):
+            candidates = random.sample(candidates, view.sample_size)
+        placement = self._selector.choose(
+            waiter.work, service, candidates, now
+        )
         if placement is None:
             return None
         name = placement.endpoint.name
@@ -380,7 +382,7 @@
         )
 
     def _refuse(
-        self, work: models.Work, service: str, pause: float = 0.0
+        self, work: models.Work, service: str, retry_seconds: float = 0.0
     ) -> errors.Refusal:
         listed = self._cluster_state.list_endpoints(service)
         code = errors.Code.OVERLOADED if listed else errors.Code.NO_ENDPOINT
@@ -388,12 +390,13 @@
         # Most callers retry only once, so the retry time is not shorter than
         # the expected wait. The random spread keeps callers that are refused
         # in one burst from retrying in one burst.
-        pause = max(pause, wait_queue.MIN_RETRY_AFTER_SECONDS)
+        retry_seconds = max(retry_seconds, wait_queue.MIN_RETRY_AFTER_SECONDS)
         longest = MAX_RETRY_SHARE * left
         return errors.Refusal(
             code=code,
             retry_after=random.uniform(
-                min(pause, 0.5 * longest), min(2 * pause, longest)
+                min(retry_seconds, 0.5 * longest),
+                min(2 * retry_seconds, longest),
             ),
         )
 
--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -52,7 +52,7 @@
         own: name of this instance.
         owners: owners of the endpoints.
         loads: step times of endpoints and leased requests.
-        tell: sends a message to the named instance.
+        send: sends a message to the named instance.
         ticker: the clock.
         log: the event log.
     """
@@ -62,14 +62,14 @@
         own: str,
         owners: owners_module.Owners,
         loads: load_tracker.LoadTracker,
-        tell: messages.SendLeaseMessage,
+        send: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
         self._own = own
         self._owners = owners
         self._loads = loads
-        self._tell = tell
+        self._send = send
         self._ticker = ticker
         self._log = log
         self._pending: dict[str, gevent_queue.SimpleQueue] = {}
@@ -106,7 +106,7 @@
             else:
                 # The request may still be in the owner's queue, or hold a
                 # lease whose grant message got lost.
-                self._tell(owner, self._make_ended(work.request_id, ""))
+                self._send(owner, self._make_ended(work.request_id, ""))
         return found
 
     def handle_answer(self, answer: messages.LeaseMessage) -> None:
@@ -120,7 +120,7 @@
         ):
             # The caller has disconnected, or the request was sent elsewhere
             # in the meantime.
-            self._tell(
+            self._send(
                 answer.instance,
                 self._make_ended(answer.request, answer.endpoint),
             )
@@ -134,7 +134,7 @@
             protocol=messages.PROTOCOL, request=request_id, endpoint=endpoint
         )
         for owner in self._list_owners(endpoint, *grant):
-            self._tell(owner, begun)
+            self._send(owner, begun)
 
     def release(self, endpoint: str, run: runs.Run) -> None:
         """Return a lease and report how the endpoint performed."""
@@ -144,7 +144,7 @@
             return
         ended = self._make_ended(run.request_id, endpoint, run)
         for owner in self._list_owners(endpoint, *grant):
-            self._tell(owner, ended)
+            self._send(owner, ended)
 
     def renew(self) -> None:
         """Tell each owner which of its leases this instance holds."""
@@ -168,7 +168,7 @@
             holding = messages.Holding(
                 protocol=messages.PROTOCOL, instance=self._own, leases=leases
             )
-            self._tell(owner, holding)
+            self._send(owner, holding)
 
     def _choose_owner(self, service: str) -> str | None:
         number = random.randrange(self._owners.count_pools(service))
@@ -195,7 +195,7 @@
         end = now + wait_queue.compute_max_wait(work, now)
         unanswered = 0
         while (now := self._ticker.now()) < end:
-            self._tell(owner, self._make_ask(work, service, tried, now))
+            self._send(owner, self._make_ask(work, service, tried, now))
             try:
                 answer = answers.get(
                     timeout=min(ANSWER_TIMEOUT_SECONDS, end - now)
--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -56,7 +56,7 @@
         cluster_state: current configuration and endpoints.
         loads: step times of endpoints.
         health: health of endpoints.
-        tell: sends a message to the named instance.
+        send: sends a message to the named instance.
         ticker: the clock.
     """
 
@@ -68,7 +68,7 @@
         cluster_state: cluster_state_module.ClusterState,
         loads: load_tracker.LoadTracker,
         health: health_module.Health,
-        tell: messages.SendLeaseMessage,
+        send: messages.SendLeaseMessage,
         ticker: clock.Clock,
     ) -> None:
         self._own = own
@@ -77,7 +77,7 @@
         self._cluster_state = cluster_state
         self._loads = loads
         self._health = health
-        self._tell = tell
+        self._send = send
         self._ticker = ticker
         self._remote_requests: dict[str, _RemoteRequest] = {}
         self._granted: dict[str, messages.Granted] = {}
@@ -88,7 +88,7 @@
         granted = self._granted.get(ask.request)
         if granted is not None and granted.endpoint not in ask.tried:
             # The grant that answered an earlier repeat got lost.
-            self._tell(ask.instance, granted)
+            self._send(ask.instance, granted)
             return
         remote = self._remote_requests.get(ask.request)
         if remote is None:
@@ -97,16 +97,16 @@
                 self._decline(ask)
                 return
             remote = _RemoteRequest(ask, now, self._grant)
-            pause = self._enqueue(remote, work, now)
-            if pause is not None:
-                self._reject(ask, pause)
+            retry_seconds = self._enqueue(remote, work, now)
+            if retry_seconds is not None:
+                self._reject(ask, retry_seconds)
                 return
         remote.last_asked = now
         if ask.request in self._remote_requests:
             queued = messages.Queued(
                 protocol=messages.PROTOCOL, request=ask.request
             )
-            self._tell(ask.instance, queued)
+            self._send(ask.instance, queued)
 
     def handle_begun(self, begun: messages.Begun) -> None:
         """Record the first event of a leased request."""
@@ -163,12 +163,14 @@
         self._remote_requests[work.request_id] = remote
         return self._dispatcher.enqueue(waiter, remote.ask.service)
 
-    def _reject(self, ask: messages.Ask, pause: float) -> None:
+    def _reject(self, ask: messages.Ask, retry_seconds: float) -> None:
         del self._remote_requests[ask.request]
         full = messages.Full(
-            protocol=messages.PROTOCOL, request=ask.request, seconds=pause
+            protocol=messages.PROTOCOL,
+            request=ask.request,
+            seconds=retry_seconds,
         )
-        self._tell(ask.instance, full)
+        self._send(ask.instance, full)
 
     def _grant(
         self,
@@ -190,7 +192,7 @@
             pace=int(self._loads.get_step_ms(name) * 1e6),
         )
         self._granted[ask.request] = granted
-        self._tell(ask.instance, granted)
+        self._send(ask.instance, granted)
 
     def _cancel(self, request: str) -> None:
         remote = self._remote_requests.pop(request, None)
@@ -231,7 +233,7 @@
         declined = messages.Declined(
             protocol=messages.PROTOCOL, request=ask.request
         )
-        self._tell(ask.instance, declined)
+        self._send(ask.instance, declined)
 
     def _make_work(self, ask: messages.Ask, now: float) -> models.Work | None:
         configuration = self._cluster_state.configuration
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -36,7 +36,7 @@
         loads: loads and step times of endpoints.
         health: health of endpoints.
         is_ready: returns whether this instance may own endpoints.
-        tell: sends a message to the named instance.
+        send: sends a message to the named instance.
         ticker: the clock.
         log: the event log.
     """
@@ -51,7 +51,7 @@
         loads: load_tracker.LoadTracker,
         health: health_module.Health,
         is_ready: collections.abc.Callable[[], bool],
-        tell: messages.SendLeaseMessage,
+        send: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
@@ -66,7 +66,7 @@
             self._on_owner_change,
         )
         self.lease_client = lease_client_module.LeaseClient(
-            own, self.owners, loads, tell, ticker, log
+            own, self.owners, loads, send, ticker, log
         )
         self.leases = leases_module.Leases(loads)
         self.lease_server = lease_server_module.LeaseServer(
@@ -76,7 +76,7 @@
             cluster_state,
             loads,
             health,
-            tell,
+            send,
             ticker,
         )
         dispatcher.owners = self.owners
--- a/citronport/relay/owners.py
+++ b/citronport/relay/owners.py
@@ -53,9 +53,9 @@
         self._unresponsive: dict[str, float] = {}
         self._candidates: tuple[ownership.Candidate, ...] = ()
         self._owners: dict[ownership.Pool, str | None] = {}
-        self._refreshed = float("-inf")
+        self._refreshed_at = float("-inf")
         self._logged: dict[ownership.Pool, str | None] = {}
-        self._since: dict[ownership.Pool, float] = {}
+        self._owner_since: dict[ownership.Pool, float] = {}
 
     def find_owner(self, pool: ownership.Pool, now: float) -> str | None:
         """Return the owner of a pool; None without candidates.
@@ -94,18 +94,18 @@
         for number in range(self.count_pools(service)):
             pool = ownership.Pool(service=service, number=number)
             if self.find_owner(pool, now) == self._own:
-                longest = max(longest or 0.0, now - self._since[pool])
+                longest = max(longest or 0.0, now - self._owner_since[pool])
         return longest
 
     def mark_unresponsive(self, instance: str, now: float) -> None:
         """Exclude an unresponsive owner from the candidates for a while."""
         self._unresponsive[instance] = now + UNRESPONSIVE_SECONDS
-        self._refreshed = float("-inf")
+        self._refreshed_at = float("-inf")
 
     def _refresh_candidates(self, now: float) -> None:
-        if now - self._refreshed < CANDIDATES_CACHE_SECONDS:
+        if now - self._refreshed_at < CANDIDATES_CACHE_SECONDS:
             return
-        self._refreshed = now
+        self._refreshed_at = now
         self._unresponsive = {
             name: until
             for name, until in self._unresponsive.items()
@@ -143,7 +143,7 @@
         if self._logged.get(pool) == owner:
             return
         self._logged[pool] = owner
-        self._since[pool] = now
+        self._owner_since[pool] = now
         self._log.write(
             events.OwnerChanged(
                 service=pool.service,
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -244,7 +244,7 @@
             data = self._exchange.read()
         self.progress.outcome = "answered"
         if is_success(answer):
-            self._record_whole_answer()
+            self._record_completion()
 
     def _forward_stream(
         self,
@@ -270,7 +270,7 @@
             yield rest
         self._record_health(True, self._context.ticker.now())
         self.progress.outcome = "answered"
-        self._record_whole_answer()
+        self._record_completion()
 
     def _record_events(self, events: bytes) -> None:
         reservation = self._reservation
@@ -441,9 +441,9 @@
         self._reservation.run.verdict = runs.Verdict.FAILED
         self._log_failure(name, reason, ran, cut=cut)
         if cut:
-            self._record_endpoint_end(self._reservation.endpoint)
+            self._record_crash(self._reservation.endpoint)
 
-    def _record_endpoint_end(self, endpoint: models.Endpoint) -> None:
+    def _record_crash(self, endpoint: models.Endpoint) -> None:
         now = self._context.ticker.now()
         fingerprint = self._job.fingerprint
         if self._context.suspects.record_crash(fingerprint, endpoint, now):
@@ -461,7 +461,7 @@
             self._context, self._reservation.endpoint.name, answer.limit
         )
 
-    def _record_whole_answer(self) -> None:
+    def _record_completion(self) -> None:
         self._context.suspects.record_completion(
             self._job.fingerprint, self._context.ticker.now()
         )
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -44,12 +44,12 @@
             room.board,
             room.health,
             lambda: True,
-            self.tell,
+            self.send,
             room.ticker,
             room.log,
         )
 
-    def tell(self, instance, message):
+    def send(self, instance, message):
         """Deliver a message to another node, like a datagram."""
         other = self._net[instance]
         if other.silent or isinstance(message, other.lost):
