--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -18,14 +18,14 @@
 
 LOG = "lessor:"
 
-REMOTE_REQUEST_EXPIRY_SECONDS = 1.4
+APPLICANT_EXPIRY_SECONDS = 1.4
 """How long a request stays queued without a repeat by its instance. Instances
 repeat every 0.4 s, and three messages in a row are hardly ever lost."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _RemoteRequest:
-    """A request of another instance; serves as the handle of its waiter.
+class _Applicant:
+    """A request that applies for a lease; serves as its waiter's handle.
 
     Attributes:
         ask: the lease request.
@@ -37,7 +37,7 @@
     ask: messages.Ask
     last_asked: float
     grant: collections.abc.Callable[
-        ["_RemoteRequest", dispatcher_module.Reservation], None
+        ["_Applicant", dispatcher_module.Reservation], None
     ]
     waiter: wait_queue.Waiter | None = None
 
@@ -79,7 +79,7 @@
         self._health = health
         self._send = send
         self._ticker = ticker
-        self._remote_requests: dict[str, _RemoteRequest] = {}
+        self._applicants: dict[str, _Applicant] = {}
         self._granted: dict[str, messages.Granted] = {}
 
     def handle_ask(self, ask: messages.Ask) -> None:
@@ -90,19 +90,19 @@
             # The grant that answered an earlier repeat got lost.
             self._send(ask.instance, granted)
             return
-        remote = self._remote_requests.get(ask.request)
-        if remote is None:
+        applicant = self._applicants.get(ask.request)
+        if applicant is None:
             work = self._make_work(ask, now)
             if work is None:
                 self._decline(ask)
                 return
-            remote = _RemoteRequest(ask, now, self._grant)
-            retry_seconds = self._enqueue(remote, work, now)
+            applicant = _Applicant(ask, now, self._grant)
+            retry_seconds = self._enqueue(applicant, work, now)
             if retry_seconds is not None:
                 self._reject(ask, retry_seconds)
                 return
-        remote.last_asked = now
-        if ask.request in self._remote_requests:
+        applicant.last_asked = now
+        if ask.request in self._applicants:
             queued = messages.Queued(
                 protocol=messages.PROTOCOL, request=ask.request
             )
@@ -141,8 +141,8 @@
     def sweep(self) -> None:
         """Remove requests and leases that are no longer renewed."""
         now = self._ticker.now()
-        for request, remote in list(self._remote_requests.items()):
-            if now - remote.last_asked > REMOTE_REQUEST_EXPIRY_SECONDS:
+        for request, applicant in list(self._applicants.items()):
+            if now - applicant.last_asked > APPLICANT_EXPIRY_SECONDS:
                 self._cancel(request)
         self._leases.remove_expired(now)
         for request, granted in list(self._granted.items()):
@@ -150,21 +150,21 @@
                 del self._granted[request]
 
     def _enqueue(
-        self, remote: _RemoteRequest, work: models.Work, now: float
+        self, applicant: _Applicant, work: models.Work, now: float
     ) -> float | None:
         waiter = wait_queue.Waiter(
             work=work,
             waiting_since=now,
-            tried=frozenset(remote.ask.tried),
-            handle=remote,
+            tried=frozenset(applicant.ask.tried),
+            handle=applicant,
             leased=True,
         )
-        remote.waiter = waiter
-        self._remote_requests[work.request_id] = remote
-        return self._dispatcher.enqueue(waiter, remote.ask.service)
+        applicant.waiter = waiter
+        self._applicants[work.request_id] = applicant
+        return self._dispatcher.enqueue(waiter, applicant.ask.service)
 
     def _reject(self, ask: messages.Ask, retry_seconds: float) -> None:
-        del self._remote_requests[ask.request]
+        del self._applicants[ask.request]
         full = messages.Full(
             protocol=messages.PROTOCOL,
             request=ask.request,
@@ -174,11 +174,11 @@
 
     def _grant(
         self,
-        remote: _RemoteRequest,
+        applicant: _Applicant,
         reservation: dispatcher_module.Reservation,
     ) -> None:
-        ask = remote.ask
-        self._remote_requests.pop(ask.request, None)
+        ask = applicant.ask
+        self._applicants.pop(ask.request, None)
         name = reservation.endpoint.name
         now = self._ticker.now()
         self._leases.grant(ask.request, name, ask.instance, now)
@@ -195,9 +195,9 @@
         self._send(ask.instance, granted)
 
     def _cancel(self, request: str) -> None:
-        remote = self._remote_requests.pop(request, None)
-        if remote is not None and remote.waiter is not None:
-            self._dispatcher.cancel(remote.waiter, remote.ask.service)
+        applicant = self._applicants.pop(request, None)
+        if applicant is not None and applicant.waiter is not None:
+            self._dispatcher.cancel(applicant.waiter, applicant.ask.service)
         granted = self._granted.pop(request, None)
         if granted is not None:
             self._health.record_no_result(granted.endpoint)
