--- a/citronport/core.py
+++ b/citronport/core.py
@@ -27,7 +27,7 @@
 from citronport.catalogue import client as catalogue_client
 from citronport.catalogue import const as catalogue_const
 from citronport.catalogue import store
-from citronport.endpoints import monitors
+from citronport.endpoints import watch
 from citronport.instances import const as instance_const
 from citronport.instances import gossip
 from citronport.instances import messages
@@ -81,7 +81,7 @@
             ticker, self.telemetry.counts.record_task_death
         )
         self.peers = self._make_peers()
-        self.endpoint_monitors = monitors.EndpointMonitors(
+        self.endpoint_monitors = watch.EndpointMonitors(
             ticker, self._handle_endpoint_event
         )
         self.executor = executor.Executor(
