--- a/citronport/scheduler/budget.py
+++ b/citronport/scheduler/budget.py
@@ -224,8 +224,8 @@
     if len(state.running) >= get_share(spec.cold_concurrency, share):
         return False
     tokens = sum(s.request.prompt_tokens for s in state.running.values())
-    max_tokens = get_share(spec.cold_prompt_tokens, share)
-    return tokens + request.prompt_tokens <= max_tokens
+    token_limit = get_share(spec.cold_prompt_tokens, share)
+    return tokens + request.prompt_tokens <= token_limit
 
 
 def get_share(whole: int, share: models.ColdShare) -> int:
--- a/citronport/scheduler/core.py
+++ b/citronport/scheduler/core.py
@@ -293,11 +293,11 @@
 
     def _cancel(self, request_id: str, now: float) -> list[models.Action]:
         request = self._owner.get_running_request(request_id)
-        place = self._owner.cancel(request_id, now)
-        if request is None or place is None:
+        endpoint = self._owner.cancel(request_id, now)
+        if request is None or endpoint is None:
             return []
         self._limiter.finish(request)
-        return [models.Cancel(request_id=request_id, endpoint=place)]
+        return [models.Cancel(request_id=request_id, endpoint=endpoint)]
 
     def _finish(self, event: models.AnswerFinished, now: float) -> None:
         request = self._owner.finish(
--- a/citronport/scheduler/owner.py
+++ b/citronport/scheduler/owner.py
@@ -114,10 +114,10 @@
 
     def get_running_request(self, request_id: str) -> models.Request | None:
         """Return a running request; None if it does not run."""
-        place = self._endpoint_by_request.get(request_id)
-        if place is None:
+        endpoint = self._endpoint_by_request.get(request_id)
+        if endpoint is None:
             return None
-        return self.states[place].running[request_id].request
+        return self.states[endpoint].running[request_id].request
 
     def estimate_cost(self, request: models.Request) -> float:
         """Return the cost of a request, seconds of a mean endpoint."""
@@ -214,13 +214,13 @@
     ) -> tuple[queue.QueuedRequest, str] | None:
         heads = self.queue.iterate_heads(group, tier)
         for waiting in itertools.islice(heads, MAX_HEADS_CHECKED):
-            place = (
+            endpoint = (
                 self._choose_endpoint(waiting, now)
                 if tier <= floor
                 else self._choose_overcommitted(waiting, now)
             )
-            if place is not None:
-                return waiting, place
+            if endpoint is not None:
+                return waiting, endpoint
         return None
 
     def _choose_endpoint(
@@ -332,28 +332,28 @@
 
     def record_first_token(self, request_id: str, now: float) -> None:
         """Record the first token of a running request."""
-        place = self._endpoint_by_request.get(request_id)
-        if place is not None:
-            state = self.states[place]
+        endpoint = self._endpoint_by_request.get(request_id)
+        if endpoint is not None:
+            state = self.states[endpoint]
             budget.record_first_token(state, request_id, now)
 
     def assume_cold(self, request_id: str, now: float) -> None:
         """Assume that the endpoint of a running request restarted cold."""
-        place = self._endpoint_by_request.get(request_id)
-        if place is not None and budget.has_cold_start(
-            self.states[place].spec
+        endpoint = self._endpoint_by_request.get(request_id)
+        if endpoint is not None and budget.has_cold_start(
+            self.states[endpoint].spec
         ):
-            budget.assume_cold(self.states[place], now)
+            budget.assume_cold(self.states[endpoint], now)
 
     def finish(
         self, request_id: str, now: float, output_tokens: int
     ) -> models.Request | None:
         """Remove and return a running request that has finished."""
-        place = self._endpoint_by_request.pop(request_id, None)
-        if place is None:
+        endpoint = self._endpoint_by_request.pop(request_id, None)
+        if endpoint is None:
             return None
         del self._started[request_id]
-        state = self.states[place]
+        state = self.states[endpoint]
         sent = budget.record_end(state, request_id, now, output_tokens)
         assert sent is not None
         self._running[sent.request.tier] -= 1
@@ -367,27 +367,27 @@
         self, request_id: str, now: float, *, sent: bool
     ) -> queue.QueuedRequest | None:
         """Remove a request whose dispatch failed; return its queue item."""
-        place = self._endpoint_by_request.pop(request_id, None)
-        if place is None:
+        endpoint = self._endpoint_by_request.pop(request_id, None)
+        if endpoint is None:
             return None
-        state = self.states[place]
+        state = self.states[endpoint]
         failed = budget.record_failure(state, request_id, now, sent=sent)
         assert failed is not None
         self._running[failed.request.tier] -= 1
         if sent and budget.has_cold_start(state.spec):
-            self._caches[place].clear()
+            self._caches[endpoint].clear()
         return self._started.pop(request_id)
 
     def cancel(self, request_id: str, now: float) -> str | None:
         """Remove a running request that is cancelled; return its endpoint."""
-        place = self._endpoint_by_request.pop(request_id, None)
-        if place is None:
+        endpoint = self._endpoint_by_request.pop(request_id, None)
+        if endpoint is None:
             return None
         del self._started[request_id]
-        state = self.states[place]
+        state = self.states[endpoint]
         self._running[state.running[request_id].request.tier] -= 1
         budget.record_cancel(state, request_id, now)
-        return place
+        return endpoint
 
     def check_first_tokens(self, now: float) -> None:
         """Fall back to the cold budget if a first token is overdue."""
