--- a/citronport/scheduler/direct/__init__.py
+++ b/citronport/scheduler/direct/__init__.py
@@ -1,4 +1,5 @@
-"""Decisions of an instance that sends to endpoints by itself.
+"""Scheduling decisions of an instance that sends directly to endpoints.
 
-Pure: the time comes in as a number, nothing here opens a socket.
+Pure logic: callers pass the time as a number, and nothing here opens a
+socket.
 """
--- a/citronport/scheduler/direct/announcements.py
+++ b/citronport/scheduler/direct/announcements.py
@@ -1,19 +1,20 @@
-"""Chooses what a report tells of things that change now and then."""
+"""Selects the items with occasional changes that a report announces."""
 
 import collections.abc
 
 ANNOUNCE_SECONDS = 1.0
-"""How long a change is told with each report: several may be lost."""
+"""How long a change is repeated in reports, as several may be lost."""
 
 MAX_CHANGES = 8
-"""Changes told in one report, so that it stays small."""
+"""Changes in one report, which keeps reports small."""
 
 
 class Announcements:
-    """Names the things to tell next.
+    """Schedules announcements of named items to other instances.
 
-    Changes are told for a while. What still holds is told one by one in
-    turn, for instances that have started since or lost reports.
+    A change is announced for a while. Items that are still active are
+    repeated one per report, in rotation, for instances that have started
+    since or missed reports.
     """
 
     def __init__(self) -> None:
@@ -21,11 +22,11 @@
         self._rotation = 0
 
     def record_change(self, name: str, now: float) -> None:
-        """Note that there is something new to tell."""
+        """Record that an item has changed."""
         self._changes[name] = now
 
     def drop(self, name: str) -> None:
-        """Forget a thing that is gone."""
+        """Forget an item that is gone."""
         self._changes.pop(name, None)
 
     def select(
@@ -34,12 +35,12 @@
         now: float,
         max_changes: int = MAX_CHANGES,
     ) -> list[str]:
-        """Return what to tell now.
+        """Return the items to announce now.
 
         Args:
-            active: what holds until it changes; told first if it is new.
+            active: items in force; their changes take precedence.
             now: clock time, seconds.
-            max_changes: changes to tell at once.
+            max_changes: most changes to return.
         """
         self._changes = {
             name: at
@@ -49,7 +50,8 @@
         selected = sorted(self._changes, key=lambda name: name not in active)
         selected = selected[:max_changes]
         for name in selected:
-            # Those that were left out come first the next time.
+            # Moves them to the end, so that those left out come first in
+            # the next report.
             self._changes[name] = self._changes.pop(name)
         remaining = [name for name in active if name not in self._changes]
         if remaining:
--- a/citronport/scheduler/direct/buckets.py
+++ b/citronport/scheduler/direct/buckets.py
@@ -1,39 +1,40 @@
-"""The token bucket of one workspace, as one of many instances keeps it."""
+"""Token bucket of one workspace, replicated on each instance."""
 
 import dataclasses
 import math
 
 SKEW_FACTOR = 1.25
-"""How much more than its part of what is left of a limit an instance lets
-pass before the others hear of it: callers draw instances by chance, so that
-one gets more of a workspace's requests than another for a while."""
+"""By how much an instance may exceed its share of the remaining units before
+its next report. Callers choose instances at random, so that for a while one
+gets more of a workspace's requests than another."""
 
 USAGE_HALF_LIFE_SECONDS = 4.0
-"""Time in which half of what passed is forgotten: longer than a debt that
-keeps a flood out, after which it would come in as one again."""
+"""Half-life of the recent usage. Longer than a debt that blocks a flood;
+otherwise the flood would come in all at once again afterwards."""
 
 USAGE_MARGIN = 2.0
-"""How much more than of late may pass until the next report."""
+"""Factor by which usage may exceed the recent rate until the next report."""
 
 MAX_DEBT_REPORTS = 6.0
-"""Deepest debt of a bucket, in reports' worth of its rate, or a burst if
-that is more. A flood that came in between two reports is paid back; a long
-request in a fleet of fresh reports locks nobody out for seconds."""
+"""Largest debt, in units of what the rate admits between two reports, or a
+burst if that is more. Enough to pay back a flood between two reports, while
+a long request does not block a workspace for seconds if reports are
+frequent."""
 
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """What is left of a limit.
+    """Token bucket that may go into debt.
 
     Attributes:
-        level: units; below 0 while a debt is paid back.
-        at: clock time of the level, seconds.
-        promised: units of callers that were told when to come back.
-        recent: units let pass here that others can't have heard of yet.
-        recent_until: clock time until which that holds, seconds.
-        flow: units that all instances let pass of late, older ones
-            counting less.
-        flow_at: clock time of the flow, seconds.
+        level: units left; below 0 while a debt is paid back.
+        refilled_at: clock time of the level, seconds.
+        reserved: units of refused callers that were told when to retry.
+        unreported: units admitted here that others have not been told of.
+        unreported_until: clock time until which that holds, seconds.
+        recent_usage: units admitted by all instances, with exponential
+            decay.
+        recent_usage_at: clock time of the recent usage, seconds.
     """
 
     level: float
@@ -47,12 +48,12 @@
     def refill(
         self, rate: float, burst: float, lag: float, now: float
     ) -> None:
-        """Add what has come since the last look.
+        """Add the units since the last refill.
 
         Args:
-            rate: units a second.
+            rate: units per second.
             burst: highest level.
-            lag: time until the others hear of what passes, seconds.
+            lag: time until other instances learn of usage here, seconds.
             now: clock time, seconds.
         """
         gained = max(0.0, now - self.refilled_at) * rate
@@ -62,7 +63,7 @@
         self.refilled_at = now
 
     def take(self, units: float, lag: float, now: float) -> None:
-        """Let units pass here."""
+        """Take units that are admitted here."""
         if now >= self.unreported_until:
             self.unreported = 0.0
             self.unreported_until = now + lag
@@ -72,14 +73,14 @@
         self.reserved = max(0.0, self.reserved - units)
 
     def has_local_share(self, instances: int, lag: float, now: float) -> bool:
-        """Return whether this instance has not let pass its part for now.
-
-        Load: a workspace at many times its limit in a fleet whose reports
-        are a second old. Harm: each instance sees the same units left and
-        hands them out; together they let pass many times what is there.
-        Parts count only where less is left than passes until the next
-        report, as callers do not come to instances in equal parts. The
-        size of the request does not matter, as for the limit itself.
+        """Return whether units are left in this instance's share for now.
+
+        Guards against instances that all hand out the same remaining units:
+        with reports that are a second old, they would admit a multiple of
+        what is left for a workspace at many times its limit. Shares apply
+        only if less is left than is used until the next report, since
+        callers do not spread evenly over instances. The size of the request
+        does not matter, as for the limit itself.
         """
         if now >= self.unreported_until:
             return True
@@ -89,12 +90,12 @@
         return self.unreported <= SKEW_FACTOR * left / instances
 
     def record_usage(self, units: float, now: float) -> None:
-        """Count units that passed somewhere."""
+        """Add units admitted on any instance to the recent usage."""
         self.recent_usage = self._compute_recent_usage(now) + units
         self.recent_usage_at = now
 
     def _compute_usage_rate(self, now: float) -> float:
-        """Return the units that pass a second, of late."""
+        """Return the recent rate of all instances, units per second."""
         return (
             math.log(2)
             / USAGE_HALF_LIFE_SECONDS
--- a/citronport/scheduler/direct/cold_starts.py
+++ b/citronport/scheduler/direct/cold_starts.py
@@ -1,4 +1,4 @@
-"""How much a cold endpoint gets from one instance."""
+"""Limits how many requests an instance sends to a cold endpoint."""
 
 import collections
 
@@ -6,39 +6,40 @@
 from citronport.scheduler.direct import roles
 
 WINDOW_SECONDS = 1.1
-"""Span over which sends to a cold endpoint are counted.
+"""Window in which sends to a cold endpoint are counted.
 
-The bound speaks of one second at the endpoint; links delay some sends more
-than others, and a tenth covers it.
+The bound holds for one second at the endpoint; the additional tenth allows
+for network delays that differ between sends.
 """
 
 SENDER_SHARE = 0.8
-"""Part of the rate a cold endpoint bears that all instances use.
+"""Share of a cold endpoint's rate that the known instances use together.
 
 The rest is for instances that do not know each other yet.
 """
 
 OWNER_SHARE = 0.5
-"""Part of that rate that an owner of the endpoint hands out. Two owners at
-once, and one request of each instance that finds none, stay together below
-the bound of one and a half times the rate and five more.
+"""Share of that rate that the owner of the endpoint hands out.
+
+Two owners at once plus one request of each instance that finds no owner stay
+below the bound of one and a half times the rate plus five requests.
 """
 
 
 def compute_window_limit(rate: float, instances: int) -> int:
-    """Return the requests a window that each sender may send."""
+    """Return how many requests each sender may send per window."""
     return max(1, int(rate * SENDER_SHARE / max(1, instances)))
 
 
 class ColdStarts:
-    """Which endpoints are cold, and what this instance sent them."""
+    """Tracks cold endpoints and the sends of this instance to them."""
 
     def __init__(self) -> None:
         self._cold_until: dict[str, float] = {}
         self._send_times: dict[str, collections.deque[float]] = {}
 
     def set_cold(self, endpoint: str, until: float) -> None:
-        """Note that an endpoint is cold until a clock time, at least."""
+        """Record that an endpoint is cold at least until a clock time."""
         self._cold_until[endpoint] = max(
             until, self._cold_until.get(endpoint, 0.0)
         )
@@ -50,11 +51,11 @@
     def may_send(
         self, endpoint: str, role: roles.Role, rate: float, now: float
     ) -> bool:
-        """Return whether one more request fits to a cold endpoint.
+        """Return whether an endpoint may get one more request.
 
-        Load: a fresh endpoint looks empty, so that every instance would
-        send there at once. Harm: it crashes above its rate. Each instance
-        has a fixed part of the rate, so that no agreement is needed.
+        A freshly started endpoint looks idle to all instances. If all sent
+        there at once, it would exceed its rate and crash. Each instance has
+        a fixed share of the rate, which needs no coordination.
         """
         if rate <= 0 or not self.is_cold(endpoint, now):
             return True
@@ -63,8 +64,8 @@
             case roles.Owner():
                 return sent < max(1, int(rate * OWNER_SHARE))
             case roles.Sender(own=own, instances=instances):
-                # With more instances than requests a second, a whole
-                # request a second each would already be too much.
+                # With more instances than requests per second, even one
+                # request per second from each would be too much.
                 senders = max(1, int(rate * SENDER_SHARE))
                 chosen = rendezvous.choose(endpoint, instances, senders)
                 if own not in chosen:
@@ -72,14 +73,14 @@
                 return sent < compute_window_limit(rate, len(chosen))
 
     def record_send(self, endpoint: str, now: float) -> None:
-        """Count a send; kept for warm ones too, as one may turn cold."""
+        """Count a send, also to a warm endpoint, as it may turn cold."""
         sent = self._send_times.setdefault(
             endpoint, collections.deque(maxlen=64)
         )
         sent.append(now)
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Remove the state of an endpoint that is gone."""
         self._cold_until.pop(endpoint, None)
         self._send_times.pop(endpoint, None)
 
--- a/citronport/scheduler/direct/endpoint_limits.py
+++ b/citronport/scheduler/direct/endpoint_limits.py
@@ -1,4 +1,4 @@
-"""How many requests a second endpoints in need have said they take."""
+"""Request rate limits that overloaded endpoints announce."""
 
 import collections.abc
 import dataclasses
@@ -8,34 +8,34 @@
 from citronport.scheduler.direct import roles
 
 SENDER_SHARE = 0.8
-"""Part of a limit that instances use which find no owner of the endpoint;
-the rest is for those that do not know each other yet."""
+"""Share of a limit that is used together by instances that find no owner of
+the endpoint; the rest is for instances that do not know each other yet."""
 
 BUCKET_SECONDS = 0.5
-"""Requests that may go at once, as a time at the limit: two owners in a row
-have a bucket each."""
+"""Size of a token bucket, as time at the limited rate. Kept small since two
+consecutive owners have a bucket each."""
 
 MIN_RATE = 0.25
-"""Requests a second that any endpoint gets: only an answer tells that it
-names a limit no longer."""
+"""Requests per second that each endpoint gets at least, as only an answer
+shows that it has lifted its limit."""
 
 NO_LIMIT = -1
 
 Row = tuple[str, int, int]
-"""What instances tell each other of an endpoint: its name, its limit in
-requests per 1,000 seconds (``NOT_LIMITED`` if it names none), and how long
-ago it answered so, in milliseconds."""
+"""Update on an endpoint's limit that instances send each other: its name, the
+limit in requests per 1,000 seconds (``NO_LIMIT`` if there is none), and the
+age of the answer that stated it, in milliseconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Limit:
-    """What an endpoint said last, and what of it is left here.
+    """Latest limit of an endpoint, with this instance's token bucket.
 
     Attributes:
-        rate: requests a second; None if it named none.
-        heard: clock time of that answer, seconds.
+        rate: requests per second; None for no limit.
+        reported_at: clock time of the answer that stated it, seconds.
         tokens: requests that may be sent now.
-        filled: clock time at which these were counted, seconds.
+        refilled_at: clock time of the last refill, seconds.
     """
 
     rate: float | None
@@ -45,12 +45,12 @@
 
 
 class EndpointLimits:
-    """Keeps the limits that endpoints name, together with other instances.
+    """Enforces the limits that endpoints announce, across all instances.
 
-    Load: an endpoint in need that says how many requests a second it takes
-    from all. Harm: it looks like any other, and each instance sends as much
-    as before. The owner of the endpoint hands out no more than the limit;
-    instances that find no owner have a fixed part of it each.
+    An overloaded endpoint states in its answers how many requests per second
+    it accepts from all instances together. The owner of the endpoint hands
+    out no more than that. Instances that find no owner have a fixed share
+    each; otherwise each of them would go on as before.
     """
 
     def __init__(self) -> None:
@@ -61,24 +61,27 @@
     def record_limit(
         self, endpoint: str, rate: float | None, now: float
     ) -> bool:
-        """Note what an answer says; return whether that is a change.
+        """Record the limit stated in an answer; return whether it changed.
 
         Args:
-            endpoint: which answered.
-            rate: requests a second that it takes; None if it names none.
+            endpoint: name of the endpoint.
+            rate: requests per second that it accepts; None for no limit.
             now: clock time, seconds.
         """
         return self._set(endpoint, rate, now, now)
 
     def get_rate(self, endpoint: str) -> float | None:
-        """Return what an endpoint takes a second; None without a limit."""
+        """Return the requests per second for an endpoint; None if unlimited.
+
+        The rate is never below ``MIN_RATE``.
+        """
         limit = self._limits.get(endpoint)
         if limit is None or limit.rate is None:
             return None
         return max(MIN_RATE, limit.rate)
 
     def may_send(self, endpoint: str, role: roles.Role, now: float) -> bool:
-        """Return whether one more request fits into an endpoint's limit."""
+        """Return whether an endpoint's limit allows one more request."""
         rate = self.get_rate(endpoint)
         if rate is None:
             return True
@@ -91,23 +94,23 @@
         return limit.tokens >= 1
 
     def record_send(self, endpoint: str) -> None:
-        """Count a request that goes there."""
+        """Count a request that is sent to an endpoint."""
         limit = self._limits.get(endpoint)
         if limit is not None:
             limit.tokens = max(-1.0, limit.tokens - 1)
 
     def count_limited(self) -> int:
-        """Return how many endpoints name a limit now."""
+        """Return how many endpoints have a limit now."""
         return len(self._limited)
 
     def list_updates(
         self, now: float, max_changes: int = announcements.MAX_CHANGES
     ) -> list[Row]:
-        """Return what to tell other instances now.
+        """Return the updates to send to other instances now.
 
         Args:
             now: clock time, seconds.
-            max_changes: changes to tell at once.
+            max_changes: most changes to return.
         """
         rows = []
         for name in self._announcements.select(
@@ -124,7 +127,7 @@
     def apply_updates(
         self, rows: collections.abc.Iterable[Row], now: float
     ) -> None:
-        """Take what another instance tells; the newest answer counts."""
+        """Apply updates of another instance; the latest answer wins."""
         for name, rate_per_1000, age in rows:
             rate = None if rate_per_1000 == NO_LIMIT else rate_per_1000 / 1000
             reported_at = now - age / 1000
@@ -132,11 +135,11 @@
             if known is None or reported_at > known.reported_at:
                 self._set(name, rate, reported_at, now)
             elif rate != known.rate:
-                # The other one has an older answer than this instance.
+                # The other instance has an older answer: repeat the update.
                 self._announcements.record_change(name, now)
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Remove the state of an endpoint that is gone."""
         self._limits.pop(endpoint, None)
         self._limited.pop(endpoint, None)
         self._announcements.drop(endpoint)
@@ -152,7 +155,8 @@
         if limit.rate == rate:
             return False
         if limit.rate is None:
-            # It has as much in work as it could get without a limit.
+            # Until now it got requests without a limit, so that the bucket
+            # starts empty.
             limit.tokens = 0.0
             limit.refilled_at = now
         limit.rate = rate
@@ -167,13 +171,13 @@
 def _compute_sender_rate(
     endpoint: str, rate: float, role: roles.Role
 ) -> float:
-    """Return the requests a second that an instance may send."""
+    """Return how many requests per second an instance may send."""
     match role:
         case roles.Owner():
             return rate
         case roles.Sender(own=own, instances=instances):
-            # One request at a time of each of hundreds of instances would
-            # already be too much: only some may send there.
+            # With hundreds of instances, even one request from each would be
+            # too much: only some of them may send.
             senders = max(1, int(rate * SENDER_SHARE))
             chosen = rendezvous.choose(endpoint, instances, senders)
             if own not in chosen:
--- a/citronport/scheduler/direct/fingerprints.py
+++ b/citronport/scheduler/direct/fingerprints.py
@@ -1,4 +1,4 @@
-"""Tells whether two requests with different ids ask for the same."""
+"""Fingerprints that identify repeats of a request under different ids."""
 
 import hashlib
 
@@ -10,17 +10,18 @@
 def make_fingerprint(
     workspace: str, method: str, host: str, target: str, body: bytes
 ) -> str:
-    """Return a text that is the same for each repeat of a request.
+    """Return a string that is equal for all repeats of a request.
 
     Args:
-        workspace: whose request it is; empty where no keys are used.
+        workspace: workspace of the request; empty where no keys are used.
         method: HTTP method.
-        host: that the caller named.
+        host: host named by the caller.
         target: path and query.
-        body: its body.
+        body: body of the request.
     """
-    # No workspace may craft a request with the fingerprint of another's.
-    # Within its own it may: there the fast hash of long bodies is enough.
+    # A workspace must not be able to forge the fingerprint of another one's
+    # request, hence the cryptographic hash. Collisions within a workspace
+    # harm only itself, so that a fast hash is enough for long bodies.
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (workspace, method, host, target):
         data = part.encode("utf-8", "surrogateescape")
--- a/citronport/scheduler/direct/health.py
+++ b/citronport/scheduler/direct/health.py
@@ -1,20 +1,20 @@
-"""Which endpoints answer, from what sends to them met."""
+"""Circuit breakers of endpoints, driven by the outcomes of sends."""
 
 import dataclasses
 
 FIRST_PAUSE_SECONDS = 0.5
-"""First pause after a failed connection; a restart takes about as long."""
+"""First pause after a failed connection, about the time of a restart."""
 
 MAX_PAUSE_SECONDS = 3.0
-"""Longest pause: each probe of a dark endpoint costs one request a wait."""
+"""Longest pause. Each probe of an unreachable endpoint delays a request."""
 
 FAILURE_WEIGHT = 0.2
-"""Weight of the newest answer in the share of failures: about the last
-five answers count, so that a fault of a few seconds is seen within it."""
+"""Weight of the newest answer in the failure share. About the last five
+answers count, so that a fault of a few seconds is detected while it lasts."""
 
 FAILURE_HALF_LIFE_SECONDS = 5.0
-"""Time in which half of a share of failures is forgotten without new
-answers, so that an endpoint that nobody chooses any more gets a chance."""
+"""Half-life of a failure share without new answers, so that an endpoint that
+is no longer chosen gets another chance."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,27 +27,27 @@
 
 
 class Health:
-    """What this instance knows of the health of endpoints."""
+    """Tracks the health of endpoints as this instance sees it."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def record_unreachable(self, endpoint: str, now: float) -> None:
-        """Note that no connection came about, or one broke unanswered."""
+        """Record that a connection failed, or broke before an answer."""
         record = self._records.setdefault(endpoint, _Record())
         self._decay(record, now)
         record.failure_share += FAILURE_WEIGHT * (1 - record.failure_share)
         record.probing = False
         if now < record.paused_until:
-            # Requests that were on their way together fail together: that
-            # is one failure, and not a row of them.
+            # Concurrent requests fail together, which counts as one failure
+            # and does not double the pause several times.
             return
         pause = 2 * record.pause or FIRST_PAUSE_SECONDS
         record.pause = min(pause, MAX_PAUSE_SECONDS)
         record.paused_until = now + record.pause
 
     def record_answer(self, endpoint: str, success: bool, now: float) -> bool:
-        """Note an answer; return whether it ended a time out of reach."""
+        """Record an answer; return whether an outage has ended with it."""
         record = self._records.setdefault(endpoint, _Record())
         self._decay(record, now)
         target = 0.0 if success else 1.0
@@ -61,11 +61,10 @@
         return recovered
 
     def may_use(self, endpoint: str, now: float) -> bool:
-        """Return whether a request may be risked there.
+        """Return whether a request may be sent to an endpoint.
 
-        Load: an endpoint that crashed while it stands in the list. Harm:
-        each request sent there waits for a connection that never comes.
-        After a pause one request at a time tries it.
+        Requests to a crashed endpoint that is still listed would wait for a
+        connection in vain. After a pause, one request at a time probes it.
         """
         record = self._records.get(endpoint)
         if record is None or not record.pause:
@@ -73,19 +72,19 @@
         return now >= record.paused_until and not record.probing
 
     def record_send(self, endpoint: str) -> None:
-        """Note that a request goes there now."""
+        """Record that a request is sent, as the probe of a paused endpoint."""
         record = self._records.get(endpoint)
         if record is not None and record.pause:
             record.probing = True
 
     def record_no_result(self, endpoint: str) -> None:
-        """Note that a request ended without an answer of either kind."""
+        """Record that a request ended without a result, good or bad."""
         record = self._records.get(endpoint)
         if record is not None:
             record.probing = False
 
     def get_failure_share(self, endpoint: str, now: float) -> float:
-        """Return the share of recent requests that failed, 0 to 1."""
+        """Return the share of recent requests that failed, from 0 to 1."""
         record = self._records.get(endpoint)
         if record is None:
             return 0.0
@@ -93,7 +92,7 @@
         return record.failure_share
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Remove the state of an endpoint that is gone."""
         self._records.pop(endpoint, None)
 
     def _decay(self, record: _Record, now: float) -> None:
--- a/citronport/scheduler/direct/leases.py
+++ b/citronport/scheduler/direct/leases.py
@@ -1,4 +1,4 @@
-"""Places at endpoints that an owner has handed out."""
+"""Slots at endpoints that an owner has leased to other instances."""
 
 import collections.abc
 import dataclasses
@@ -6,25 +6,26 @@
 from citronport.scheduler.direct import load_tracker
 
 RENEW_INTERVAL_SECONDS = 0.5
-"""Pause between two renewals of all leases that an instance holds."""
+"""Interval at which a holder renews all its leases."""
 
 EXPIRE_SECONDS = 1.6
-"""Time after which a lease that is not renewed ends: three renewals may get
-lost, and the places of a dead instance are free within two seconds."""
+"""Time after which a lease expires without renewal. Three renewals may be
+lost, and the slots of a dead instance are free within two seconds."""
 
 RENEW_GRACE_SECONDS = 0.3
-"""Age from which on a lease has to stand in a renewal; a younger one may
+"""Age from which a lease has to be included in renewals; a younger one may
 have been granted after the renewal was sent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HeldLease:
-    """A lease as its holder tells it.
+    """A lease as reported by its holder.
 
     Attributes:
-        request_id: of the request that runs there.
-        endpoint: where.
-        unread: tokens of its prompt if it has not begun, else 0.
+        request_id: id of the request.
+        endpoint: name of the endpoint.
+        prefill_tokens: prompt tokens if there was no first event yet, else
+            0.
     """
 
     request_id: str
@@ -40,15 +41,15 @@
 
 
 class Leases:
-    """Leases of one owner; what they hold counts on its board.
+    """Leases granted by one owner, counted in its load tracker.
 
-    A lease is only a count of what runs at an endpoint: one that is lost
-    makes an endpoint look emptier than it is, and harms nothing else. So
-    that holders and owners may come and go without a handover, each holder
-    tells all its leases again and again to whoever is the owner now.
+    Leases only count requests at endpoints. A lost lease makes an endpoint
+    look less loaded than it is, and has no other effect. Holders and owners
+    may change without a handover, since each holder periodically reports all
+    its leases to the current owner.
 
     Args:
-        board: where the requests count.
+        loads: tracker in which leased requests are counted.
     """
 
     def __init__(self, loads: load_tracker.LoadTracker) -> None:
@@ -56,28 +57,28 @@
         self._leases: dict[tuple[str, str], _Lease] = {}
 
     def __len__(self) -> int:
-        """Return how many leases there are."""
+        """Return the number of leases."""
         return len(self._leases)
 
     def has(self, request_id: str, endpoint: str) -> bool:
-        """Return whether a lease is known."""
+        """Return whether a lease exists."""
         return (request_id, endpoint) in self._leases
 
     def grant(
         self, request_id: str, endpoint: str, holder: str, now: float
     ) -> None:
-        """Note a lease whose request counts on the board already."""
+        """Add a lease whose request is already counted in the tracker."""
         self._leases[request_id, endpoint] = _Lease(holder, now, now)
 
     def end(
         self, request_id: str, endpoint: str, now: float | None = None
     ) -> None:
-        """End a lease; one that is not known changes nothing.
+        """End a lease, if it exists.
 
         Args:
-            request_id: of the request.
-            endpoint: where it was.
-            now: clock time, seconds, if its holder gave it back.
+            request_id: id of the request.
+            endpoint: name of the endpoint.
+            now: clock time, seconds, if the holder returned the lease.
         """
         if self._leases.pop((request_id, endpoint), None) is not None:
             self._loads.record_end(endpoint, request_id, now)
@@ -85,7 +86,7 @@
     def record_first_event(
         self, request_id: str, endpoint: str, now: float
     ) -> None:
-        """Note that the request of a lease has got its first event."""
+        """Record the first event of a leased request."""
         self._loads.record_first_event(endpoint, request_id, now)
 
     def renew(
@@ -94,11 +95,16 @@
         held: collections.abc.Iterable[HeldLease],
         now: float,
     ) -> None:
-        """Take all leases of an instance as it tells them.
+        """Replace the leases of a holder by those that it reports.
 
-        Load: lost datagrams, and owners that die. Harm: a lease whose end
-        got lost fills a slot that is free; a new owner takes full
-        endpoints for idle. What the holder tells replaces what is known.
+        Corrects the effects of lost datagrams and owner failures: a lease
+        whose end was lost blocks a free slot, and a new owner takes full
+        endpoints for idle ones.
+
+        Args:
+            holder: name of the instance.
+            held: all leases that it holds.
+            now: clock time, seconds.
         """
         reported = {(h.request_id, h.endpoint): h for h in held}
         for key, reported_lease in reported.items():
@@ -123,7 +129,7 @@
                 self.end(*key)
 
     def remove_expired(self, now: float) -> None:
-        """End the leases that nobody renews."""
+        """End the leases that have not been renewed in time."""
         for key, lease in list(self._leases.items()):
             if now - lease.renewed_at > EXPIRE_SECONDS:
                 self.end(*key)
--- a/citronport/scheduler/direct/load_tracker.py
+++ b/citronport/scheduler/direct/load_tracker.py
@@ -1,4 +1,4 @@
-"""What runs at each endpoint, from own sends and from others' reports."""
+"""Load and speed of each endpoint, from own sends and others' reports."""
 
 import collections.abc
 import dataclasses
@@ -8,43 +8,47 @@
 from citronport.scheduler.direct import runs
 
 DEFAULT_STEP_MS = 5.0
-"""Pace of an engine before any was measured, milliseconds; with the first
-streams, a third of a second after a start, it is not used any more."""
+"""Step time that is assumed until one has been measured. The first streams
+replace it about a third of a second after a start."""
 
 STEP_MS_WEIGHT = 0.3
-"""Weight of the newest measured pace."""
+"""Weight of the newest sample in the moving average of the step time."""
 
 MIN_STEP_MS = 0.2
 MAX_STEP_MS = 500.0
-"""Bounds of a measured pace, milliseconds; what lies beyond comes from a
-cut or pause."""
+"""Bounds of a measured step time; values outside are caused by a cut
+connection or a paused engine."""
 
 MAX_IDLE_ROWS_PER_REPORT = 12
-"""Paces told in one report of endpoints without own work: with 45 endpoints
-each is told every fourth report, and a report stays below 2 KB."""
+"""Step times of idle endpoints (without requests of this instance) in one
+report. With 45 endpoints, each is included in every fourth report, and a
+report stays below 2 KB."""
 
 LEASING_IDLE_ROWS_PER_REPORT = 3
-"""The same in a large fleet: the owner hears each pace at a request's end,
-and the others need it only when they find no owner."""
+"""The same while slots are leased: the owner of an endpoint receives its
+step time at the end of each request, and other instances need it only when
+they find no owner."""
 
 ANSWER_WEIGHT = 0.2
-"""Weight of the newest answer of a plain service in its mean time."""
+"""Weight of the newest sample in the mean answer time of an endpoint of a
+plain service."""
 
 DEFAULT_ANSWER_SECONDS = 0.05
-"""Time of a plain answer before any was measured."""
+"""Time of a plain answer that is assumed until one has been measured."""
 
 UNTRIED_FACTOR = 0.9
-"""What an untried endpoint's answer is taken to need, as a share of the
-fastest known one's."""
+"""Assumed answer time of an untried endpoint, relative to the fastest known
+one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What runs at an endpoint.
+    """Load of an endpoint.
 
     Attributes:
-        requests: sent there and not ended.
-        unread: prompt tokens of those with no event yet.
+        requests: requests in flight.
+        prefill_backlog: prompt tokens of the requests without a first
+            event.
     """
 
     requests: int
@@ -58,24 +62,24 @@
 
 
 class LoadTracker:
-    """Loads and paces of all endpoints, as seen by one instance.
+    """Tracks load and step time of all endpoints, as one instance sees them.
 
     Attributes:
-        profiles: what requests of a service take, in steps.
+        profiles: steps that requests of each service take.
     """
 
     def __init__(self) -> None:
         self.profiles = profiles.Profiles()
         self._own: dict[str, dict[str, runs.Run]] = {}
-        # Requests of this instance whose places another one handed out:
-        # they count there, and would count twice if told from here.
+        # Requests of this instance whose slots another one leased out:
+        # the lessor counts them, so reporting them here would count twice.
         self._leased: dict[str, dict[str, runs.Run]] = {}
         self._step_ms: dict[str, float] = {}
         self._answer_seconds: dict[str, float] = {}
         self._rotation = 0
         self._remote: dict[str, _RemoteReport] = {}
-        # Sums over all instances, kept up with each report: a choice
-        # among 45 endpoints would else look at 60 reports for each.
+        # Sums over the other instances, updated with each report; otherwise
+        # a choice among 45 endpoints would read 60 reports for each of them.
         self._remote_totals: dict[str, list[int]] = {}
         self._median_step_ms: dict[str, float] = {}
         self._typical_step_ms: float | None = None
@@ -83,14 +87,15 @@
     def record_send(
         self, endpoint: str, work: models.Work, now: float, service: str = ""
     ) -> runs.Run:
-        """Note that a request goes to an endpoint; return its record.
+        """Record that a request is sent to an endpoint; return its run.
 
         Args:
-            endpoint: where.
+            endpoint: name of the endpoint.
             work: the request.
             now: clock time, seconds.
-            service: of the endpoint, if a slot is free there: what the
-                request takes is then learnt, and no wait for a slot.
+            service: service of the endpoint if a slot is free there, else
+                empty. The profile then learns from this request, whose
+                times include no wait for a slot.
         """
         run = runs.Run(work.request_id, work.prompt_tokens, now)
         run.service = service
@@ -103,7 +108,7 @@
     def record_leased_send(
         self, endpoint: str, work: models.Work, now: float
     ) -> runs.Run:
-        """Note a request whose place another instance has handed out."""
+        """Record a request whose slot is leased from another instance."""
         run = runs.Run(work.request_id, work.prompt_tokens, now)
         self._leased.setdefault(endpoint, {})[work.request_id] = run
         return run
@@ -111,7 +116,7 @@
     def record_remote_request(
         self, endpoint: str, request_id: str, prefill_tokens: int
     ) -> None:
-        """Note another instance's request, which counts here from now on."""
+        """Count another instance's request among the own ones."""
         run = runs.Run(request_id, prefill_tokens, 0.0)
         if not prefill_tokens:
             run.first_event_at = 0.0
@@ -120,7 +125,7 @@
     def record_first_event(
         self, endpoint: str, request_id: str, now: float
     ) -> None:
-        """Note that another instance's request has got its first event."""
+        """Record the first event of another instance's request."""
         run = self._own.get(endpoint, {}).get(request_id)
         if run is not None and run.first_event_at is None:
             run.first_event_at = now
@@ -134,12 +139,12 @@
         tokens: int,
         now: float,
     ) -> None:
-        """Note events of a stream.
+        """Record events of a stream.
 
         Args:
-            endpoint: where it runs.
-            run: its record.
-            events: how many came.
+            endpoint: name of the endpoint.
+            run: the request there.
+            events: number of events received.
             tokens: tokens in one event.
             now: clock time, seconds.
         """
@@ -152,12 +157,12 @@
             self._update_step_ms(endpoint, step_ms)
 
     def record_answer(self, endpoint: str, run: runs.Run, now: float) -> None:
-        """Note the whole answer of a plain service."""
+        """Record a complete answer of a plain service."""
         run.answer_seconds = now - run.sent_at
         self.record_answer_seconds(endpoint, run.answer_seconds)
 
     def record_answer_seconds(self, endpoint: str, seconds: float) -> None:
-        """Take the time of one plain answer, seconds."""
+        """Add a sample of the time of a plain answer, seconds."""
         known = self._answer_seconds.get(endpoint, seconds)
         self._answer_seconds[endpoint] = known + ANSWER_WEIGHT * (
             seconds - known
@@ -166,12 +171,13 @@
     def record_end(
         self, endpoint: str, request_id: str, now: float | None = None
     ) -> None:
-        """Note that a request has ended or left an endpoint.
+        """Record that a request has ended or left an endpoint.
 
         Args:
-            endpoint: where it was.
-            request_id: of the request.
-            now: clock time, seconds, if the place was used to its end.
+            endpoint: name of the endpoint.
+            request_id: id of the request.
+            now: clock time, seconds, if the request ran to its end; None
+                if its duration must not be learnt.
         """
         run = self._own.get(endpoint, {}).get(request_id)
         if (
@@ -185,7 +191,7 @@
         _remove(self._own, endpoint, request_id)
 
     def record_leased_end(self, endpoint: str, request_id: str) -> None:
-        """Note that a leased request has ended or left an endpoint."""
+        """Record that a leased request has ended or left an endpoint."""
         _remove(self._leased, endpoint, request_id)
 
     def list_leased(self) -> list[tuple[str, runs.Run]]:
@@ -197,13 +203,13 @@
         ]
 
     def get_own_step_ms(self, endpoint: str) -> float | None:
-        """Return the pace that this instance measured, if it did."""
+        """Return the step time measured by this instance, if any."""
         return self._step_ms.get(endpoint)
 
     def apply_step_ms(
         self, sender: str, endpoint: str, step_ms: float
     ) -> None:
-        """Take the pace of one endpoint that another instance measured."""
+        """Apply the step time that another instance has measured."""
         report = self._remote.setdefault(sender, _RemoteReport({}, {}))
         report.step_ms[endpoint] = step_ms
         self._median_step_ms.pop(endpoint, None)
@@ -213,12 +219,12 @@
         sender: str,
         rows: collections.abc.Iterable[tuple[str, int, int, int]],
     ) -> None:
-        """Take the loads that another instance tells.
+        """Apply a report of another instance.
 
         Args:
-            sender: its name.
-            rows: as ``make_report_rows`` makes them. A load that has no row
-                is none; a pace that has no row stays as it was.
+            sender: name of the other instance.
+            rows: rows of its ``make_report_rows``. An endpoint without a
+                row has no load from that instance, but keeps its step time.
         """
         report = self._remote.setdefault(sender, _RemoteReport({}, {}))
         self._add_remote(report.loads, -1)
@@ -232,7 +238,11 @@
         self._add_remote(report.loads, 1)
 
     def drop_stale(self, fresh: collections.abc.Container[str]) -> None:
-        """Forget the loads of instances that are out of reach."""
+        """Forget the reports of unreachable instances.
+
+        Args:
+            fresh: names of the instances to keep.
+        """
         for sender in [s for s in self._remote if s not in fresh]:
             report = self._remote.pop(sender)
             self._add_remote(report.loads, -1)
@@ -241,13 +251,13 @@
     def make_report_rows(
         self, idle_rows: int = MAX_IDLE_ROWS_PER_REPORT
     ) -> list[tuple[str, int, int, int]]:
-        """Return own loads and paces, in the form that is told.
+        """Return the own loads and step times as rows of a report.
 
-        All loads are told each time; of the paces of endpoints without
-        own work only some, other ones each time.
+        Each report includes all own loads. The step times of endpoints
+        without own requests are spread over several reports, in rotation.
 
         Args:
-            idle_rows: how many of these paces.
+            idle_rows: endpoints without own requests in this report.
         """
         rows = []
         self._typical_step_ms = None
@@ -265,7 +275,7 @@
         return rows
 
     def get_load(self, endpoint: str) -> Load:
-        """Return what runs at an endpoint, of all instances."""
+        """Return the load of an endpoint, from all instances."""
         own = self._get_own_load(endpoint)
         others = self._remote_totals.get(endpoint)
         if others is None:
@@ -273,17 +283,17 @@
         return Load(own.requests + others[0], own.prefill_backlog + others[1])
 
     def count_requests(self, endpoint: str) -> int:
-        """Return the requests at an endpoint, of all instances."""
+        """Return the number of requests at an endpoint, of all instances."""
         others = self._remote_totals.get(endpoint)
         own = len(self._own.get(endpoint, ()))
         return own if others is None else own + others[0]
 
     def count_own_requests(self, endpoint: str) -> int:
-        """Return the requests of this instance at an endpoint."""
+        """Return the number of own requests at an endpoint."""
         return len(self._own.get(endpoint, ()))
 
     def get_step_ms(self, endpoint: str) -> float:
-        """Return the time of one step, milliseconds."""
+        """Return the median of the step times that instances measured."""
         median = self._median_step_ms.get(endpoint)
         if median is None:
             median = self._median_step_ms[endpoint] = (
@@ -305,11 +315,10 @@
         return _find_median(known)
 
     def get_typical_step_ms(self) -> float:
-        """Return the middle of all known paces, milliseconds.
+        """Return the median of all known step times.
 
-        An engine that nobody has measured yet is taken for a common one.
-        It is looked up anew with each report, as hundreds of paces change
-        a little all the time.
+        Used for engines that have not been measured yet. Computed once per
+        report, since hundreds of step times change slightly all the time.
         """
         if self._typical_step_ms is None:
             known = list(self._step_ms.values())
@@ -325,15 +334,15 @@
         seconds = self._answer_seconds.get(endpoint)
         if seconds is not None:
             return seconds
-        # An endpoint that nobody has tried yet looks a little better than
-        # the best of the others, or it would never be tried.
+        # An untried endpoint has to look slightly better than the best of
+        # the others, or it would never be tried.
         best = min(
             self._answer_seconds.values(), default=DEFAULT_ANSWER_SECONDS
         )
         return UNTRIED_FACTOR * best
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Remove the state of an endpoint that is gone."""
         self._step_ms.pop(endpoint, None)
         self._answer_seconds.pop(endpoint, None)
         self._median_step_ms.pop(endpoint, None)
--- a/citronport/scheduler/direct/models.py
+++ b/citronport/scheduler/direct/models.py
@@ -1,4 +1,4 @@
-"""What the decisions on direct sends know; units in each field."""
+"""Data models of direct scheduling; fields document their units."""
 
 import dataclasses
 import enum
@@ -6,7 +6,7 @@
 
 
 class RepeatPolicy(enum.StrEnum):
-    """What a route allows to be sent a second time."""
+    """Which requests of a route may be sent a second time."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Share:
-    """A part of a route's requests that goes to one service."""
+    """Share of a route's requests that goes to one service."""
 
     service: str
     weight: float
@@ -23,23 +23,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Where requests of one host and path go, and what they are owed.
+    """Services and guarantees for the requests of one host and path.
 
     Attributes:
         name: unique in a configuration.
-        host: host that callers name, in lower case.
-        prefix: beginning of the path, with a slash at both ends.
-        repeat: what may be sent a second time.
+        host: host named by callers, in lower case.
+        prefix: path prefix, with a slash at both ends.
+        repeat: which requests may be sent a second time.
         timeout: longest time until the final answer, seconds.
-        objective: time in which an answer is worth most, seconds; for a
-            stream the time to its first event.
-        tier: 0 is served first.
+        objective: target time for an answer, seconds; for a stream the time
+            to its first event.
+        tier: priority; 0 is served first.
         shares: services and their weights; never empty.
-        max_endpoints: endpoints on which one request may run, at most.
+        max_endpoints: most endpoints on which one request may run.
         public: whether requests need no key.
-        resumable: whether a stream may go on at another endpoint.
-        max_gap: longest pause between two events in time, seconds; None
-            where nothing is said.
+        resumable: whether a stream may continue at another endpoint.
+        max_gap: target for the longest pause between two events, seconds;
+            None if not configured.
     """
 
     name: str
@@ -58,11 +58,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Engine:
-    """What all engines of a service have in common.
+    """Properties common to all engines of a service.
 
     Attributes:
-        slots: requests that run at once.
-        cache_tokens: memory for running requests and kept prompt parts.
+        slots: concurrent requests.
+        cache_tokens: tokens that fit into the memory for running requests
+            and cached prompt parts.
         event_tokens: tokens in one event of a stream.
     """
 
@@ -73,15 +74,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A group of like endpoints.
+    """A group of equivalent endpoints.
 
     Attributes:
         name: unique in a configuration.
-        health_path: path that tells whether an endpoint is well.
+        health_path: path of the health check.
         max_connections: connections to one endpoint from all instances.
         cold_seconds: how long an endpoint is cold after a start.
-        cold_rate: requests a second that a cold endpoint bears from all
-            instances together; 0 for no bound.
+        cold_rate: requests per second that a cold endpoint can take from
+            all instances together; 0 for no bound.
         engine: None for a plain service.
     """
 
@@ -98,12 +99,12 @@
     """A paying customer.
 
     Attributes:
-        name: its name, which endpoints are told.
-        tier: goes before the tier of a route; None if it has none.
-        rate: units a second over all instances; 0 for no limit.
+        name: its name, which is passed on to endpoints.
+        tier: overrides the tier of a route; None if it has none.
+        rate: units per second over all instances; 0 for no limit.
         burst: units at once beyond the rate.
-        counts_tokens: whether a unit is a token; else a request.
-        plain_tokens: units of a request that tells no tokens.
+        counts_tokens: whether a unit is a token; otherwise it is a request.
+        plain_tokens: units of a request without token counts.
     """
 
     name: str
@@ -116,13 +117,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on sizes and times of a caller's requests.
 
     Attributes:
-        head_bytes: longest head of a request.
-        body_bytes: longest body.
-        head_seconds: time for a whole head.
-        idle_seconds: how long a connection may stay open unused.
+        head_bytes: largest head of a request.
+        body_bytes: largest body.
+        head_seconds: longest time for a complete head.
+        idle_seconds: how long a connection may stay idle.
     """
 
     head_bytes: int
@@ -133,15 +134,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """One version of what operators have set.
+    """One version of the operators' configuration.
 
     Attributes:
-        version: grows with each change.
+        version: increases with each change.
         routes: all routes.
-        services: by name.
-        workspaces: by name.
+        services: services by name.
+        workspaces: workspaces by name.
         keys: workspace of each caller's key; None where no keys are used.
-        limits: for connections of callers.
+        limits: limits on callers' connections.
     """
 
     version: int
@@ -156,7 +157,7 @@
         return {route.name: route for route in self.routes}
 
     def find_route(self, name: str) -> Route | None:
-        """Return a route by its name."""
+        """Return the route with a name, if there is one."""
         return self._routes_by_name.get(name)
 
 
@@ -165,15 +166,15 @@
     """One start of an endpoint, as the platform lists it.
 
     Attributes:
-        name: unique among living endpoints; mostly new at each start.
+        name: unique among running endpoints; usually new at each start.
         service: the service it belongs to.
         address: "ip:port".
-        data_centre: where it stands.
-        slots: requests that it runs at once.
-        leaving: whether it takes no new work.
-        cold_seconds: how long it stayed cold when this was written.
-        started: time of its start, Unix milliseconds; 0 if unknown. Tells
-            two starts under one name apart.
+        data_centre: its location.
+        slots: concurrent requests.
+        leaving: whether it accepts no new requests.
+        cold_seconds: remaining cold time when the listing was written.
+        started: time of its start, Unix milliseconds; 0 if unknown.
+            Distinguishes two starts under one name.
     """
 
     name: str
@@ -187,23 +188,23 @@
 
     @property
     def start_id(self) -> tuple[str, int]:
-        """What tells this start from all others."""
+        """Key that identifies this start of the endpoint."""
         return (self.name, self.started)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Work:
-    """What a request asks of an endpoint.
+    """What a request requires of an endpoint.
 
     Attributes:
         request_id: id of the caller's attempt.
-        route: where it goes.
-        tier: 0 is served first; the workspace's or the route's.
-        prompt_tokens: tokens to read; 0 for a plain request.
-        output_tokens: most tokens to write.
-        expected_tokens: tokens that it probably writes.
+        route: route of the request.
+        tier: priority of the workspace or the route; 0 is served first.
+        prompt_tokens: tokens of the prompt; 0 for a plain request.
+        output_tokens: most tokens to generate.
+        expected_tokens: tokens that it will probably generate.
         parts: ids of the prompt's shared parts, in order.
-        arrived: clock time of the request's head, seconds.
+        arrived: clock time at which the head arrived, seconds.
         deadline: clock time by which the final answer is due, seconds.
     """
 
--- a/citronport/scheduler/direct/ownership.py
+++ b/citronport/scheduler/direct/ownership.py
@@ -1,4 +1,4 @@
-"""Which instance hands out the places at an endpoint."""
+"""Chooses the instance that leases out the slots of an endpoint."""
 
 import dataclasses
 import math
@@ -6,18 +6,18 @@
 from citronport.scheduler.direct import rendezvous
 
 MIN_LEASING_INSTANCES = 2
-"""Instances from which on places are leased. Seven gain too, though reports
-between them are fresh: one queue orders the requests of all, and a burst
-finds no idle endpoint that others have seen as well."""
+"""Smallest fleet in which slots are leased. Even seven instances with fresh
+reports benefit: one queue orders the requests of all, and in a burst several
+instances do not choose the same idle endpoint."""
 
 POOL_ENDPOINTS = 64
-"""Endpoints that one owner hands out. A choice among 45 takes 0.3 ms, and
-an engine ends about one request a second for each of its slots, so that an
-owner is asked some hundred times a second at most."""
+"""Endpoints of one owner. A choice among 45 takes 0.3 ms, and an engine ends
+about one request per second for each of its slots, so that an owner gets a
+few hundred lease requests per second at most."""
 
 MIN_CAPACITY_SHARE = 0.5
-"""Part of the largest capacity from which on an instance may be an owner: a
-small machine is kept busy by its own callers."""
+"""Smallest capacity of an owner, relative to the largest instance. Small
+instances are busy with their own callers."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -25,8 +25,8 @@
     """An instance that may own endpoints.
 
     Attributes:
-        instance: its name.
-        capacity: processor cores that it has.
+        instance: name of the instance.
+        capacity: number of processor cores.
     """
 
     instance: str
@@ -38,8 +38,8 @@
     """Endpoints of one service that have the same owner.
 
     Attributes:
-        service: the service.
-        number: from 0.
+        service: name of the service.
+        number: index of the pool, from 0.
     """
 
     service: str
@@ -47,7 +47,7 @@
 
 
 def count_pools(endpoints: int) -> int:
-    """Return into how many pools the endpoints of a service fall."""
+    """Return how many pools the endpoints of a service are divided into."""
     return max(1, math.ceil(endpoints / POOL_ENDPOINTS))
 
 
@@ -61,14 +61,16 @@
 def choose_owner(pool: Pool, candidates: tuple[Candidate, ...]) -> str | None:
     """Return the instance that owns a pool; None without candidates.
 
-    Load: sixty instances that each see a sixtieth of the work and hear of
-    the rest 0.75 s late. Harm: all send to the endpoint that looks idle,
-    and the urgent request waits behind others of instances that know
-    nothing of it. One instance knows what runs at all endpoints of a pool
-    to a few milliseconds. All name the same one by the same ranking, with
-    no agreement: where views differ for a moment two hand out places, and
-    an endpoint queues a few requests more. What must hold (limits, cold
-    starts, budgets) does not rest on there being one.
+    Without owners, each of sixty instances would see a sixtieth of the
+    requests and learn of the rest 0.75 s later. All would send to the same
+    idle-looking endpoint, and urgent requests would queue behind those of
+    other instances. An owner knows the load of its endpoints to within a few
+    milliseconds.
+
+    All instances choose the same owner by rendezvous hashing, without
+    coordination. While their views differ, two instances may lease out slots
+    of an endpoint, which then queues a few more requests. Limits, cold starts
+    and retry budgets do not depend on a single owner.
     """
     if not candidates:
         return None
--- a/citronport/scheduler/direct/profiles.py
+++ b/citronport/scheduler/direct/profiles.py
@@ -1,35 +1,36 @@
-"""What the requests of a service take, learnt from those that ran.
+"""Duration models of requests, learnt per service from finished requests.
 
-Engines of one service differ in speed, and a request takes about as many
-steps on each of them. Times are therefore learnt in steps, over all engines
-of a service together, and so settle within some tens of requests.
+Engines of one service differ in speed, but a request takes about the same
+number of steps on each of them. Durations are therefore learnt in steps, over
+all engines of a service, and converge within some tens of requests.
 """
 
 import dataclasses
 
 DECAY = 0.98
-"""Weight that a sample loses with each later one: about the last fifty
-count, some seconds of a busy service."""
+"""Factor applied to the weight of a sample with each later one. About the
+last fifty count, which is some seconds of a busy service."""
 
 MIN_SAMPLES = 8
-"""Samples from which on a line is trusted; fewer may all be of one length."""
+"""Fewest samples for a linear fit; fewer may all be of one length."""
 
 MIN_DEVIATION_TOKENS = 200.0
-"""Smallest spread of the prompts, tokens, from which a slope is read off."""
+"""Smallest standard deviation of prompt lengths that determines a slope."""
 
 OUTLIER_FACTOR = 4.0
-"""A first event that takes so many times the expected steps counts as that
-many: its engine was paused or failed, which is not the prompt's doing."""
+"""Cap on the steps to a first event, as a multiple of the expected ones. A
+longer time is due to a paused or failed engine and not to the prompt."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Profile:
-    """What a request takes, in steps of its engine.
+    """Duration model of a request, in steps of its engine.
 
     Attributes:
-        begin: until its first event, beyond the reading of its prompt.
-        read: for each prompt token, with the steps of others in between.
-        stay: from the send to the end.
+        base_steps: steps to the first event, without the prompt's prefill.
+        steps_per_token: steps per prompt token, including those that other
+            requests take in between.
+        total_steps: steps from the send to the end.
     """
 
     base_steps: float
@@ -40,14 +41,14 @@
 DEFAULT_PROFILE = Profile(
     base_steps=10.0, steps_per_token=0.005, total_steps=300.0
 )
-"""Used until a service is known. Of the order that engines show which read
-prompts in chunks between the steps of running requests; the first seconds
-of a new fleet go by it."""
+"""Used in the first seconds of a new fleet, until a service has samples. The
+order of magnitude is that of engines with chunked prefill, which process
+prompts in chunks between the steps of running requests."""
 
 
 @dataclasses.dataclass(slots=True)
 class _LinearFit:
-    """A straight line through samples, by decaying sums."""
+    """Linear regression over samples with exponentially decaying weight."""
 
     n: float = 0.0
     x: float = 0.0
@@ -63,7 +64,7 @@
         self.xy = self.xy * DECAY + x * y
 
     def fit(self) -> tuple[float, float] | None:
-        """Return the value at nothing and the slope, if they are known."""
+        """Return intercept and slope; None if they can't be determined."""
         if self.n < MIN_SAMPLES:
             return None
         mean_x, mean_y = self.x / self.n, self.y / self.n
@@ -83,24 +84,25 @@
 
 
 class Profiles:
-    """The profiles of all services, as seen by one instance."""
+    """Profiles of all services, as seen by one instance."""
 
     def __init__(self) -> None:
         self._samples: dict[str, _ServiceSamples] = {}
         self._remote: dict[str, Profile] = {}
-        # Each choice looks at the profile once for each endpoint.
+        # Caches computed profiles: each choice of an endpoint reads the
+        # profile once per candidate.
         self._cache: dict[str, Profile] = {}
 
     def record_first_event(
         self, service: str, tokens: int, steps: float
     ) -> None:
-        """Take the first event of a request.
+        """Add a sample of the steps to a first event.
 
         Args:
-            service: where it runs.
-            tokens: prompt tokens that its engine had to read until then,
-                those of requests before it too.
-            steps: from the send to the event.
+            service: service of the request.
+            tokens: prompt tokens that its engine processed until then,
+                including those of earlier requests.
+            steps: steps from the send to the event.
         """
         expected = self.get(service)
         most = OUTLIER_FACTOR * (
@@ -109,13 +111,16 @@
         self._get_samples(service).line.add(tokens, min(steps, most))
 
     def record_end(self, service: str, steps: float) -> None:
-        """Take the steps for which a request held its place."""
+        """Add a sample of the steps for which a request occupied a slot."""
         samples = self._get_samples(service)
         samples.count = samples.count * DECAY + 1
         samples.total_steps = samples.total_steps * DECAY + steps
 
     def set_remote(self, service: str, profile: Profile) -> None:
-        """Take what another instance has learnt of a service."""
+        """Set the profile that another instance reports for a service.
+
+        It is used until this instance has enough samples of its own.
+        """
         self._remote[service] = profile
         self._cache.pop(service, None)
 
@@ -127,7 +132,7 @@
         return known
 
     def make_report_rows(self) -> list[tuple[str, float, float, float]]:
-        """Return what this instance has learnt, in the form that is told."""
+        """Return the profiles learnt by this instance, as report rows."""
         rows = []
         for service, samples in self._samples.items():
             if samples.count >= MIN_SAMPLES and samples.line.fit():
--- a/citronport/scheduler/direct/quota.py
+++ b/citronport/scheduler/direct/quota.py
@@ -1,7 +1,7 @@
-"""Limits of workspaces over all instances, without a shared counter.
+"""Fleet-wide rate limits of workspaces, without a shared counter.
 
-Each instance counts what it let pass and tells the others its running
-total; each charges its own bucket with what all of them let pass.
+Each instance counts the units that it admits and reports its running totals
+to the others. Each charges its own bucket with the usage of all.
 """
 
 from citronport.scheduler.direct import buckets as bucket_module
@@ -9,46 +9,44 @@
 from citronport.scheduler.direct import usage
 
 TOLERANCE_SHARE = 0.8
-"""Part of the operators' tolerance that is used in a fleet whose instances
-hear each other at once.
+"""Share of the operators' tolerance that is used if reports arrive at once.
 
-Totals of other instances are a report late, so that a bucket drained at the
-very limit refuses requests that are within it. Erring upwards costs nobody
-anything while the sum stays in the tolerance; the rest is for what is let
-pass between two reports.
+Totals of other instances are one report late, so that buckets enforcing the
+exact limit would refuse requests within it. Admitting more is harmless as
+long as the sum stays within the tolerance; the rest is for the units admitted
+between two reports.
 """
 
 TOLERANCE_SHARE_PER_LAG_SECOND = 0.3
-"""Part of the tolerance that is kept back for each second between reports."""
+"""Share of the tolerance that is held back per second between reports."""
 
 MIN_TOLERANCE_SHARE = 0.5
-"""Part of the tolerance that is used however late the reports are."""
+"""Share of the tolerance that is used regardless of the reports' delay."""
 
 MIN_RETRY_SECONDS = 0.1
-"""Shortest time to come back, so that a caller does not spin."""
+"""Shortest retry delay, so that callers do not busy-loop."""
 
 MAX_RETRY_SECONDS = 5.0
-"""Longest time to come back; a caller waits for a part of its deadline."""
-
+"""Longest retry delay; callers wait for only a part of their deadline."""
 
 STARTUP_SECONDS = 2.0
-"""How long an instance counts as new: it and the others hear each other
-within a report or two, half a second in a fleet of seven."""
+"""How long an instance counts as new. Instances hear from each other within
+one or two reports, which is half a second in a fleet of seven."""
 
 MIN_STARTUP_INSTANCES = 8
-"""Instances among which a new one divides limits, at least."""
+"""Smallest number of instances among which a new one divides limits."""
 
 MAJORITY = 0.5
-"""Share of the instances above which a part of the fleet is the only one
-that is so large."""
+"""Share of the instances above which a partition is the majority; there is
+at most one such partition."""
 
 MINORITY_SHARE = 0.5
-"""Part of its share of a limit that a minority uses.
+"""Share of its proportional part of a limit that a minority uses.
 
-A majority goes on with the whole limit, since callers leave instances that
-the others can't reach. All minorities together are less than half of the
-fleet, so that the sum stays below one and a quarter times the limit, which
-is what operators tolerate.
+The majority continues with the whole limit, since callers leave instances
+that the others can't reach. All minorities together are less than half of the
+fleet, so that the sum stays below one and a quarter times the limit, which is
+what operators tolerate.
 """
 
 
@@ -56,10 +54,10 @@
     """Token buckets of all workspaces, as seen by one instance.
 
     Args:
-        over: share beyond a limit that the operators tolerate.
-        slack: units beyond a limit that they tolerate besides.
-        started: clock time of this instance's start, seconds; by default
-            it runs for long.
+        over: tolerated excess over a limit, as a share of it.
+        slack: units that are tolerated in addition.
+        started: clock time of this instance's start, seconds; in the
+            distant past by default.
     """
 
     def __init__(
@@ -83,18 +81,18 @@
         instances: int = 1,
         lag: float = 0.0,
     ) -> float | None:
-        """Let a request pass, or tell when to come back.
+        """Admit a request, or return when to retry.
 
         Args:
-            workspace: the customer.
-            units: what the request counts.
-            reach: share of the instances whose totals are fresh, 0 to 1.
+            workspace: workspace of the request.
+            units: units of the request.
+            reach: share of the instances with fresh totals, 0 to 1.
             now: clock time, seconds.
-            instances: how many there may be.
-            lag: time until the others hear of what passes, seconds.
+            instances: upper bound of the number of instances.
+            lag: time until other instances learn of usage here, seconds.
 
         Returns:
-            None if it may pass, else the pause in seconds.
+            None if the request is admitted, else the retry delay in seconds.
         """
         if workspace.rate <= 0:
             return None
@@ -109,11 +107,10 @@
             bucket = bucket_module.Bucket(min(burst, level), now)
             self._buckets[workspace.name] = bucket
         bucket.refill(rate, burst, lag, now)
-        # Load: large requests among many small ones, over the limit. Harm:
-        # the small ones take each unit as it comes, and the large ones of
-        # the same workspace never find enough. Whoever comes while there
-        # is something left may pass; what it takes beyond that is paid by
-        # those that come after it.
+        # A request is admitted if any units are left, and later requests pay
+        # back what it takes beyond that. Otherwise, over the limit, small
+        # requests would take each unit as it comes, and large ones of the
+        # same workspace would never find enough.
         needed = min(1.0, units)
         if bucket.level >= needed and bucket.has_local_share(
             instances, lag, now
@@ -121,10 +118,9 @@
             bucket.take(units, lag, now)
             self._usage.add(workspace.name, units)
             return None
-        # Load: a workspace far beyond its limit. Harm: refused callers who
-        # all hear when the next unit is free come back at once, and all but
-        # one are refused again. Each is told a later time than the one
-        # before, at the pace at which the limit lets them pass.
+        # Refused callers get staggered retry delays, at the rate of the
+        # limit. If all were told when the next unit is free, they would
+        # return at the same time and all but one would be refused again.
         wait = (needed - bucket.level + bucket.reserved) / rate
         bucket.reserved += units
         return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
@@ -136,11 +132,11 @@
         totals: usage.Units,
         now: float,
     ) -> None:
-        """Charge what another instance has let pass since its last word.
+        """Charge the usage of another instance since its last report.
 
         Args:
             sender: name of the other instance.
-            incarnation: of that start of it.
+            incarnation: id of its current start.
             totals: its running totals by workspace.
             now: clock time, seconds.
         """
@@ -156,13 +152,13 @@
         totals: usage.Units,
         now: float,
     ) -> None:
-        """Charge what another data centre has let pass since its last word.
+        """Charge the usage of another data centre since its last summary.
 
         Args:
-            data_centre: whose instances let it pass.
-            envoy: the instance there that tells.
-            incarnation: of that start of it.
-            totals: its ``get_data_centre_totals``.
+            data_centre: name of the other data centre.
+            envoy: the instance that reports for it.
+            incarnation: id of the envoy's current start.
+            totals: the envoy's ``get_data_centre_totals``.
             now: clock time, seconds.
         """
         passed = self._usage.apply_data_centre_totals(
@@ -171,11 +167,11 @@
         self._charge(passed, now)
 
     def get_totals(self) -> usage.Units:
-        """Return what this instance has let pass, by workspace."""
+        """Return the units admitted by this instance, by workspace."""
         return self._usage.get_own_totals()
 
     def get_data_centre_totals(self) -> usage.Units:
-        """Return what its data centre has let pass, by workspace."""
+        """Return the units admitted in its data centre, by workspace."""
         return self._usage.get_data_centre_totals()
 
     def _charge(self, passed: usage.Units, now: float) -> None:
@@ -186,10 +182,10 @@
                 bucket.record_usage(max(0.0, units), now)
 
     def refund(self, workspace: models.Workspace, units: float) -> None:
-        """Undo an admission whose request was refused and has not run.
+        """Undo the admission of a request that was refused and has not run.
 
-        Load: full endpoints. Harm: callers that are told to come back
-        would find their limit spent on requests that nobody ran.
+        Otherwise callers that retry because endpoints were full would find
+        their limit spent on requests that were never run.
         """
         bucket = self._buckets.get(workspace.name)
         if bucket is None or workspace.rate <= 0:
@@ -200,14 +196,13 @@
     def _compute_share(
         self, workspace: models.Workspace, reach: float, lag: float
     ) -> tuple[float, float]:
-        """Return the rate and burst that this instance may count on.
-
-        Load: one workspace at many times its limit while instances can
-        not hear each other. Harm: each part of the fleet would let the
-        whole limit pass. Only one part can be a majority; it leaves to
-        the others what these may use, and so keeps most of the tolerance
-        while a single instance is away. The others keep to a part of
-        their share.
+        """Return the rate and burst that this instance may use.
+
+        Keeps the sum within the tolerance during a network partition, when
+        each partition would otherwise admit the whole limit. The majority
+        reserves what the minorities may use, and so keeps most of the
+        tolerance if a single instance is unreachable. A minority uses only a
+        share of its proportional part.
         """
         if reach > MAJORITY:
             used = max(
@@ -227,11 +222,10 @@
 ) -> tuple[float, float]:
     """Return the rate and burst of an instance that has just started.
 
-    Load: all instances are killed and start again while one workspace is
-    far beyond its limit. Harm: they forget what they let pass, and until
-    they hear of each other each of them hands out a whole burst more. Each
-    begins with its part of a burst, and keeps to its part of the rate
-    until it hears another one.
+    If all instances are killed and restart while a workspace is far over its
+    limit, they have lost their totals, and each would admit a whole burst
+    before hearing from the others. An instance therefore starts with its
+    share of the burst and uses its share of the rate until it gets a report.
     """
     share = 1.0 / max(MIN_STARTUP_INSTANCES, instances)
     return workspace.rate * share, workspace.burst * share
--- a/citronport/scheduler/direct/rendezvous.py
+++ b/citronport/scheduler/direct/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all instances choose the same few without a message."""
+"""Rendezvous hashing: all instances agree on a choice without messages."""
 
 import collections.abc
 import math
@@ -9,19 +9,19 @@
 
 
 def compute_hash(text: str) -> int:
-    """Return a hash that is the same in every process."""
+    """Return a hash that is equal in all processes."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 def choose(key: str, names: tuple[str, ...], number: int) -> tuple[str, ...]:
-    """Return some names for a key, other ones for each key.
+    """Return a subset of names that depends on a key.
 
-    One name more or less changes at most one of those that are chosen.
+    Adding or removing a name changes at most one of the chosen names.
 
     Args:
-        key: what they are chosen for.
-        names: to choose from.
-        number: how many, at most.
+        key: key of the choice.
+        names: names to choose from.
+        number: most names to choose.
     """
     if len(names) <= number:
         return names
@@ -32,14 +32,14 @@
 def choose_by_weight(
     key: str, weights: collections.abc.Mapping[str, float], number: int
 ) -> tuple[str, ...]:
-    """Return some names for a key, heavy ones more often.
+    """Return a subset of weighted names that depends on a key.
 
-    Over many keys each name is chosen about in proportion to its weight.
+    Over many keys, each name is chosen about in proportion to its weight.
 
     Args:
-        key: what they are chosen for.
-        weights: of the names to choose from, above 0.
-        number: how many, at most.
+        key: key of the choice.
+        weights: weights of the names to choose from, above 0.
+        number: most names to choose.
     """
     if len(weights) <= number:
         return tuple(weights)
--- a/citronport/scheduler/direct/retries.py
+++ b/citronport/scheduler/direct/retries.py
@@ -1,37 +1,36 @@
-"""How often a request may be sent to one more endpoint."""
+"""Retry budgets: limits on sending requests to further endpoints."""
 
 import collections
 
 WINDOW_SECONDS = 10.0
-"""Span over which sends are counted when the settings tell none."""
+"""Default window in which sends are counted."""
 
 MIN_INSTANCES = 16
-"""Instances among which the fixed part of the budget is divided.
+"""Smallest number of instances among which the fixed budget is divided.
 
-Above the seven of today and the four that may be added; an instance that
-can't hear the others then still keeps the sum within the bound.
+Above the usual seven instances and four additional ones, so that the sum
+stays within the bound even if an instance can't hear the others.
 """
 
 SAFETY_FACTOR = 0.75
-"""Part of the allowed ratio that is used.
+"""Share of the configured budget that is used.
 
-The windows of the bound slide over sends as endpoints see them, a few
-hundred milliseconds apart from those here.
+The bound applies to sliding windows over sends as endpoints see them, which
+are off by a few hundred milliseconds from the windows here.
 """
 
 
 class RetryBudget:
-    """Repeats of one service that this instance may still send.
+    """Retry budget of one service on this instance.
 
-    Load: endpoints that fail or refuse while callers press. Harm: each
-    request sent again adds load where there is too much already. The
-    repeats stay below a share of the first sends of the same window and a
-    fixed part, of which each instance has its own.
+    Retries add load to a service whose endpoints already fail or refuse
+    requests. Their number per window is limited to a ratio of the first sends
+    plus a fixed budget that is divided among the instances.
 
     Args:
-        ratio: repeats for each first send.
-        extra: repeats a window beyond that, over all instances.
-        window: seconds.
+        ratio: retries per first send.
+        extra: additional retries per window, over all instances.
+        window: length of the window, seconds.
     """
 
     def __init__(
@@ -49,10 +48,10 @@
         self._trim(now)
 
     def take(self, instances: int, now: float) -> bool:
-        """Take one repeat out of the budget, if there is one left.
+        """Take a retry from the budget; return whether one was left.
 
         Args:
-            instances: how many instances there may be.
+            instances: upper bound of the number of instances.
             now: clock time, seconds.
         """
         self._trim(now)
--- a/citronport/scheduler/direct/roles.py
+++ b/citronport/scheduler/direct/roles.py
@@ -1,15 +1,15 @@
-"""What part of an endpoint's bound an instance may use by itself."""
+"""Roles of an instance towards an endpoint, which set its share of a bound."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sender:
-    """One of many instances that send by themselves.
+    """One of several instances that send independently of each other.
 
     Attributes:
-        own: its name.
-        instances: all of them.
+        own: name of this instance.
+        instances: names of all these instances.
     """
 
     own: str
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """The instance that hands out the places of the endpoint."""
+    """The instance that leases out the slots of the endpoint."""
 
 
 Role = Sender | Owner
--- a/citronport/scheduler/direct/routing.py
+++ b/citronport/scheduler/direct/routing.py
@@ -1,4 +1,4 @@
-"""Which route and which workspace a request belongs to."""
+"""Finds the route and the service of a request."""
 
 import collections.abc
 import itertools
@@ -19,12 +19,12 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> models.Route | None:
-        """Return the route with the longest prefix that begins a path."""
+        """Return the route with the longest matching path prefix."""
         known = self._by_host.get(host.partition(":")[0].lower())
         if known is None:
             return None
-        # Prefixes end with a slash, so that only the beginnings of the
-        # path that end there need a look, however many routes there are.
+        # Prefixes end with a slash, so that only the parts of the path up to
+        # each slash are looked up, regardless of the number of routes.
         end = path.rfind("/")
         while end >= 0:
             route = known.get(path[: end + 1])
@@ -39,7 +39,7 @@
 
     Args:
         route: the route.
-        draw: a random number, from 0 up to but not 1.
+        draw: random number in the half-open interval from 0 to 1.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
--- a/citronport/scheduler/direct/runs.py
+++ b/citronport/scheduler/direct/runs.py
@@ -1,23 +1,24 @@
-"""One request at an endpoint, and what its events show of the engine."""
+"""One request at an endpoint, and the step time measured from its events."""
 
 import dataclasses
 import enum
 
 SECONDS_PER_MS = 0.001
-"""Unit of a pace: the time of one step of an engine, in which each running
-request gets a token, in milliseconds."""
+"""Converts step times, which are in milliseconds. In one step an engine
+generates a token for each running request."""
 
 SPAN_EVENTS = 4
-"""Events over which a pace is measured. Shorter spans are coarse, since
-events that arrive together carry no time between them."""
+"""Events in one measured span. Shorter spans are too coarse, as there is no
+time between events that arrive together."""
 
 SPANS_PER_SAMPLE = 4
-"""Spans of which the smallest counts: sixteen events, a third of a second
-on a common engine, hardly ever all hold the reading of a prompt."""
+"""Spans in one sample, of which the fastest is used. Prompts are rarely
+processed during all sixteen events, a third of a second on a typical
+engine."""
 
 
 class Verdict(enum.IntEnum):
-    """What a request shows of the health of its endpoint."""
+    """What the outcome of a request says about the endpoint's health."""
 
     NOTHING = 0
     GOOD = 1
@@ -30,22 +31,22 @@
     """One request at an endpoint.
 
     Attributes:
-        request_id: of the request.
-        prompt_tokens: tokens to read.
-        sent: clock time at which it was sent.
-        first: clock time of its first event; None before.
-        events: events since its first.
-        mark: clock time of the event at which the present span began.
-        mark_events: events at that time.
-        spans: spans measured since the last pace was learnt.
-        best: smallest time of one event in these, seconds.
-        last: clock time of its newest event.
-        longest: longest pause between two events, seconds.
-        taken: time of a plain answer, seconds; 0 before.
-        verdict: what it has shown of the endpoint.
-        service: that its times are learnt for; empty if they are not.
-        ahead: prompt tokens that the endpoint had not read when it was
-            sent, of other requests.
+        request_id: id of the request.
+        prompt_tokens: tokens of the prompt.
+        sent_at: clock time at which it was sent.
+        first_event_at: clock time of its first event; None before.
+        events: events after the first one.
+        span_started_at: clock time at which the current span began.
+        span_start_events: value of ``events`` at that time.
+        spans: spans measured since the last sample.
+        min_event_seconds: shortest mean time of one event in these spans.
+        last_event_at: clock time of its newest event.
+        longest_gap: longest pause between two events, seconds.
+        answer_seconds: time of a plain answer, seconds; 0 before.
+        verdict: what it says about the endpoint's health.
+        service: service whose profile learns from it; empty for none.
+        prefill_backlog: prompt tokens of other requests that the endpoint
+            had not processed when this one was sent.
     """
 
     request_id: str
@@ -65,7 +66,7 @@
     prefill_backlog: int = 0
 
     def record_first_event(self, events: int, now: float) -> None:
-        """Take the first events of a stream."""
+        """Record the first events of a stream."""
         self.first_event_at = self.span_started_at = self.last_event_at = now
         self.span_start_events = 0
         self.events = events - 1
@@ -73,15 +74,15 @@
     def record_events(
         self, events: int, tokens: int, now: float
     ) -> float | None:
-        """Take later events; return the pace of the engine now and then.
+        """Record later events; return a sample of the engine's step time.
 
         Args:
-            events: how many came.
+            events: number of events received.
             tokens: tokens in one event.
             now: clock time, seconds.
 
         Returns:
-            Milliseconds a step; None until enough events have come.
+            Milliseconds per step; None until a sample is complete.
         """
         self.longest_gap = max(self.longest_gap, now - self.last_event_at)
         self.last_event_at = now
@@ -92,8 +93,8 @@
         event_seconds = (now - self.span_started_at) / span
         self.span_started_at, self.span_start_events = now, self.events
         self.spans += 1
-        # The smallest of several spans: longer ones hold the reading of
-        # others' prompts, which is load and not pace.
+        # The longer spans include the prefill of other requests' prompts,
+        # which depends on the load and not on the speed of the engine.
         self.min_event_seconds = (
             event_seconds
             if self.min_event_seconds is None
