--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -236,7 +236,7 @@
         """An envoy dies while units pass; none counts twice or never."""
         near = [n for n in self.nodes if n.data_centre == "dc1"]
         far = next(n for n in self.nodes if n.data_centre == "dc2")
-        believed, _ = far.quotas._usage._believed["dc1"]
+        believed, _ = far.quotas._usage._active_envoys["dc1"]
         self.network.dead = {n for n in near if n.name == believed}
         alive = [n for n in near if n not in self.network.dead]
         for number in range(8):
