--- a/citronport/scheduler/direct/retries.py
+++ b/citronport/scheduler/direct/retries.py
@@ -9,7 +9,7 @@
 """Smallest number of instances among which the fixed budget is divided.
 
 Above the usual seven instances and four additional ones, so that the sum
-stays within the bound even if an instance can't hear the others.
+stays within the bound even if an instance does not know of the others.
 """
 
 SAFETY_FACTOR = 0.75
--- a/citronport/scheduler/direct/selection.py
+++ b/citronport/scheduler/direct/selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to."""
+"""Chooses the endpoint for a request."""
 
 import collections.abc
 import dataclasses
@@ -13,31 +13,32 @@
 from citronport.scheduler.direct import runs
 
 SPARE_REQUESTS = 1
-"""Requests beyond an endpoint's slots that may be sent there.
+"""Requests that may be sent to an endpoint in addition to its slots.
 
-An engine admits in order of arrival, so that what waits there can't be
-overtaken by more urgent work; one keeps it busy while the news of a free
-slot is on its way.
+An engine admits requests in order of arrival, so that more urgent ones can't
+overtake those that wait there. One waiting request keeps the engine busy
+until the news of a free slot arrives.
 """
 
 FAILURE_PENALTY_SECONDS = 2.0
-"""What a certain failure counts against waiting, seconds."""
+"""Penalty for a failure share of 1, as additional waiting time."""
 
 MIN_OCCUPANCY_SECONDS = 0.001
-"""Shortest time that a place is taken to be held."""
+"""Shortest time that a request is assumed to occupy a slot."""
 
 MAX_FULL_SAMPLE_INSTANCES = 12
-"""Instances up to which each looks at all endpoints: their reports are 0.15
-s old at most, about what a prompt takes to read."""
+"""Largest fleet in which each choice considers all endpoints. Its reports are
+at most 0.15 s old, about the time to process a prompt."""
 
 
 def compute_sample_size(endpoints: int, instances: int) -> int:
-    """Return how many endpoints, drawn by chance, one choice looks at.
+    """Return the size of the random sample of endpoints for one choice.
 
-    Load: sixty instances whose reports are 0.7 s old. Harm: all see the
-    same idle endpoint and send there at once, and the next one a report
-    later. Each looks at a few endpoints drawn by chance, so that about as
-    many instances see one as are able to hear of each other in time.
+    Sampling avoids a thundering herd: with sixty instances and reports that
+    are 0.7 s old, all would see the same idle endpoint and send there at
+    once, and to the next one a report later. The sample is chosen so that an
+    endpoint is considered by about as many instances as can learn of each
+    other's sends in time.
     """
     share = min(1.0, MAX_FULL_SAMPLE_INSTANCES / max(1, instances))
     return max(1, math.ceil(endpoints * share))
@@ -48,9 +49,9 @@
     """An endpoint that may take a request now.
 
     Attributes:
-        endpoint: where.
+        endpoint: the endpoint.
         seconds: expected time to the first event, or to a plain answer.
-        cost: what is compared; seconds and what else counts against it.
+        cost: expected time plus penalties; the lowest cost is chosen.
     """
 
     endpoint: models.Endpoint
@@ -62,10 +63,10 @@
     """Chooses endpoints.
 
     Args:
-        board: loads and paces.
-        health: which endpoints answer.
-        cold: which endpoints are cold.
-        limits: what endpoints in need have said they take.
+        loads: loads and step times of endpoints.
+        health: health of endpoints.
+        cold: cold endpoints.
+        limits: rate limits announced by endpoints.
     """
 
     def __init__(
@@ -87,16 +88,16 @@
         endpoints: collections.abc.Iterable[models.Endpoint],
         now: float,
     ) -> Placement | None:
-        """Return the best of some endpoints that have room, or None.
+        """Return the best of the endpoints, or None if there are none.
 
-        Load: unlike engines that admit in order of arrival. Harm: a
-        request behind a long queue or on a slow engine is late while
-        others idle. Each gets the request that it begins soonest.
+        Engines differ in speed and admit requests in order of arrival. The
+        request goes where it is expected to start first, as it would be late
+        behind a long queue or on a slow engine while other engines idle.
 
         Args:
             work: the request.
-            service: of the endpoints.
-            endpoints: those with room, see ``has_room``.
+            service: service of the endpoints.
+            endpoints: endpoints with capacity, see ``has_capacity``.
             now: clock time, seconds.
         """
         best: Placement | None = None
@@ -114,7 +115,14 @@
         role: roles.Role,
         now: float,
     ) -> bool:
-        """Return whether an endpoint may get one more request now."""
+        """Return whether an endpoint may get one more request now.
+
+        Args:
+            endpoint: the endpoint.
+            service: service of the endpoint.
+            role: role of this instance towards the endpoint.
+            now: clock time, seconds.
+        """
         name = endpoint.name
         requests = self._loads.count_requests(name)
         if requests >= endpoint.slots + SPARE_REQUESTS:
@@ -131,7 +139,7 @@
         service: models.Service,
         endpoint: models.Endpoint,
     ) -> float:
-        """Return the expected time to the first event, seconds."""
+        """Return the expected time to the first event or answer, seconds."""
         load = self._loads.get_load(endpoint.name)
         queued = max(0, load.requests + 1 - endpoint.slots)
         if service.engine is None:
@@ -150,10 +158,10 @@
         service: models.Service,
         endpoints: collections.abc.Iterable[models.Endpoint],
     ) -> float:
-        """Return how many places come free a second when all are taken.
+        """Return how many slots become free per second if all are in use.
 
-        Endpoints that are out of reach at the moment count: most are back
-        before a request's patience is over.
+        Includes endpoints that are currently unreachable, as most return
+        before waiting requests time out.
         """
         return sum(self._compute_endpoint_rate(service, e) for e in endpoints)
 
--- a/citronport/scheduler/direct/suspects.py
+++ b/citronport/scheduler/direct/suspects.py
@@ -1,4 +1,4 @@
-"""Requests under which endpoints ended."""
+"""Bars requests that crash the endpoints on which they run."""
 
 import collections.abc
 import dataclasses
@@ -8,32 +8,34 @@
 from citronport.scheduler.direct import models
 
 BAR_THRESHOLD = 3
-"""Endpoints that may end under a request before it is barred. Each of them
-ends under all that it runs, and one or two of those are there by chance."""
+"""Number of endpoint crashes after which a request is barred. A crash counts
+for all requests on the endpoint, so that an innocent request may easily be
+involved in one or two."""
 
 KEEP_SECONDS = 600.0
-"""How long a request is remembered that nobody repeats."""
+"""How long a request is remembered if it is not repeated."""
 
 MAX_SUSPECTS = 2048
-"""Requests remembered at once."""
+"""Most requests remembered at once."""
 
 NEVER = float("-inf")
 
 Row = tuple[str, int, int, list[tuple[int, int]]]
-"""What instances tell each other of one request: its fingerprint; how long
-ago it was last asked for, and last answered whole (-1: never); the starts of
-endpoints that ended under it since, each with how long ago. Times are in
-milliseconds."""
+"""Update on one request that instances send each other: its fingerprint; the
+ages of its last occurrence and of its last complete answer (-1: never); and
+the endpoint starts that crashed under it since, each with the age of the
+crash. Ages are in milliseconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    """What is known of one request; clock times in seconds.
+    """State of one request; clock times in seconds.
 
     Attributes:
-        ends: when each endpoint ended under it.
-        whole: when it was last answered whole.
-        seen: when an endpoint last ended under it or a barred one came.
+        crashes: time of the crash of each endpoint start.
+        completed_at: time of its last complete answer.
+        last_seen: time of the last crash, or of the last repeat while it is
+            barred.
     """
 
     crashes: dict[int, float] = dataclasses.field(default_factory=dict)
@@ -45,14 +47,14 @@
         return len(self.crashes) >= BAR_THRESHOLD
 
     def add_crash(self, start: int, at: float) -> bool:
-        """Add an end; return whether that is news."""
+        """Add a crash; return whether it is new and counts."""
         if self.is_barred or at <= self.completed_at or start in self.crashes:
             return False
         self.crashes[start] = at
         return True
 
     def clear_crashes(self, at: float) -> bool:
-        """Take a whole answer; return whether it excuses an end."""
+        """Drop the crashes before a complete answer; return if any were."""
         crashes = {
             start: end for start, end in self.crashes.items() if end > at
         }
@@ -63,13 +65,13 @@
 
 
 class SuspectRequests:
-    """Which requests end the endpoints that run them.
+    """Tracks requests that are suspected of crashing endpoints.
 
-    Load: a request that crashes each endpoint which begins to run it, and
-    whose caller repeats it at any instance. Harm: it takes all endpoints of
-    its service with it, again and again, and everybody's requests there.
-    Instances tell each other under which requests endpoints ended. After
-    the third end without a whole answer no instance sends it any more.
+    If a caller repeats such a request at any instance, it takes down all
+    endpoints of its service again and again, with all requests that run
+    there. Instances therefore exchange which requests were running when
+    endpoints crashed. After the third crash without a complete answer, no
+    instance sends the request any more.
     """
 
     def __init__(self) -> None:
@@ -80,10 +82,10 @@
     def record_crash(
         self, fingerprint: str, endpoint: models.Endpoint, now: float
     ) -> bool:
-        """Note that an endpoint ended while it had a request.
+        """Record that an endpoint crashed while it was running a request.
 
         Returns:
-            Whether the request is barred from now on.
+            Whether the request has become barred by that.
         """
         suspect = self._find(fingerprint)
         was_barred = suspect.is_barred
@@ -94,13 +96,13 @@
         return suspect.is_barred and not was_barred
 
     def record_completion(self, fingerprint: str, now: float) -> None:
-        """Note that a request was answered whole: it ends no endpoint."""
+        """Record a complete answer, which clears the request of suspicion."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.clear_crashes(now):
             self._record_change(fingerprint, suspect, now)
 
     def is_barred(self, fingerprint: str, now: float) -> bool:
-        """Return whether a request that came must not be sent."""
+        """Return whether an incoming request must not be sent."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.is_barred:
             return False
@@ -108,17 +110,17 @@
         return True
 
     def count_barred(self) -> int:
-        """Return how many requests are barred."""
+        """Return the number of barred requests."""
         return len(self._barred)
 
     def list_updates(
         self, now: float, max_changes: int = announcements.MAX_CHANGES
     ) -> list[Row]:
-        """Return what to tell other instances now.
+        """Return the updates to send to other instances now.
 
         Args:
             now: clock time, seconds.
-            max_changes: changes to tell at once.
+            max_changes: most changes to return.
         """
         selected = self._announcements.select(self._barred, now, max_changes)
         return [_make_row(f, self._suspects[f], now) for f in selected]
@@ -126,7 +128,7 @@
     def apply_updates(
         self, rows: collections.abc.Iterable[Row], now: float
     ) -> None:
-        """Take what another instance tells."""
+        """Apply updates of another instance."""
         for fingerprint, seen_age, completed_age, crashes in rows:
             suspect = self._find(fingerprint)
             suspect.last_seen = max(suspect.last_seen, now - seen_age / 1000)
@@ -140,7 +142,7 @@
         self._trim()
 
     def remove_expired(self, now: float) -> None:
-        """Forget what nobody has asked for in a while."""
+        """Forget requests that have not occurred for a while."""
         expired = [
             fingerprint
             for fingerprint, suspect in self._suspects.items()
@@ -169,8 +171,8 @@
     def _trim(self) -> None:
         if len(self._suspects) <= MAX_SUSPECTS:
             return
-        # Several at once, so that a crash of many endpoints does not sort
-        # all of them for each request that was there.
+        # Removes several at once, so that a crash of many endpoints does not
+        # sort all entries again for each request involved.
         ranked = sorted(
             self._suspects,
             key=lambda f: (
--- a/citronport/scheduler/direct/usage.py
+++ b/citronport/scheduler/direct/usage.py
@@ -1,10 +1,10 @@
-"""What all instances let pass of the limits, added up by each of them."""
+"""Usage totals of all instances, added up separately on each of them."""
 
 import dataclasses
 
 ENVOY_TIMEOUT_SECONDS = 0.7
-"""How long the envoy of another data centre may be silent until the next one
-is believed: two of its summaries got lost."""
+"""How long the active envoy of another data centre may be silent before the
+next one takes over, which allows for two lost summaries."""
 
 Units = dict[str, float]
 """Units by workspace."""
@@ -17,10 +17,10 @@
     reported_at: float = 0.0
 
     def update(self, incarnation: str, totals: Units) -> Units:
-        """Take new totals; return by how much they have grown.
+        """Store new totals; return their increase.
 
-        One that has started anew counts from nothing. A total falls where
-        a request was refused after all.
+        After a restart of the reporter, its totals count from 0. A total
+        decreases if the admission of a request was undone.
         """
         known = self.totals if self.incarnation == incarnation else {}
         increase = {
@@ -33,7 +33,11 @@
 
 
 class Usage:
-    """Running totals: of this instance, of its data centre, of others."""
+    """Running totals of this instance, its data centre and other ones.
+
+    An envoy is an instance that reports the totals of its data centre to the
+    others. A data centre has several of them, of which one is active.
+    """
 
     def __init__(self) -> None:
         self._own_totals: Units = {}
@@ -44,19 +48,19 @@
 
     @property
     def has_no_reports(self) -> bool:
-        """Whether nobody has told anything yet."""
+        """Whether no other instance has reported yet."""
         return not self._instances and not self._envoys
 
     def get_own_totals(self) -> Units:
-        """Return what this instance has let pass since its start."""
+        """Return the units admitted by this instance since its start."""
         return self._own_totals
 
     def get_data_centre_totals(self) -> Units:
-        """Return what this data centre has let pass, as heard here."""
+        """Return the units admitted in this data centre, as known here."""
         return self._data_centre_totals
 
     def add(self, workspace: str, units: float) -> None:
-        """Count what this instance lets pass; less than 0 takes it back."""
+        """Count units admitted by this instance; negative ones undo that."""
         self._own_totals[workspace] = (
             self._own_totals.get(workspace, 0.0) + units
         )
@@ -65,15 +69,14 @@
     def apply_totals(
         self, sender: str, incarnation: str, totals: Units
     ) -> Units:
-        """Take the totals of an instance of this data centre.
+        """Apply the totals of another instance of this data centre.
 
-        Load: an instance that has just started, among others that run for
-        long. Harm: charged with all that they ever let pass, it refuses
-        every workspace for as long as a burst takes to come back. The
-        first word of an instance only tells where its totals stand.
+        The first report of an instance only sets the baseline. Otherwise an
+        instance that has just started would charge all past usage of the
+        others, and refuse all workspaces until their bursts are refilled.
 
         Returns:
-            What has passed there since its last word.
+            The units admitted there since its last report.
         """
         reporter = self._instances.get(sender)
         if reporter is None:
@@ -92,24 +95,25 @@
         totals: Units,
         now: float,
     ) -> Units:
-        """Take the sums of another data centre from one of its envoys.
+        """Apply the totals of another data centre from one of its envoys.
 
-        Load: two envoys that tell of the same requests, of which one dies.
-        Harm: added up, they would use up a limit twice as fast; dropped
-        with the dead one, what passed meanwhile would pass once more. One
-        of them is believed; of the other it is kept what it said when that
-        one spoke last, so that it can go on from there.
+        Several envoys report the same usage, and only the active one is
+        charged; otherwise limits would be used up twice as fast. The totals
+        of the others are stored as of the active envoy's last report, so that
+        one of them can take over from there if it fails. Otherwise the units
+        in between would not be charged, and would be admitted again.
 
         Returns:
-            What has passed there since the last word of the believed one.
+            The units admitted there since the last report of the active
+            envoy.
         """
         active, reported_at = self._active_envoys.setdefault(
             data_centre, (envoy, now)
         )
         reporter = self._envoys.get((data_centre, envoy))
         if reporter is None:
-            # Its sums tell nothing without earlier ones to compare with;
-            # the envoy next in line knows where the silent one stopped.
+            # Without earlier totals there is no increase to charge. The next
+            # known envoy has the totals from which the silent one left off.
             self._envoys[data_centre, envoy] = _Reporter(
                 incarnation, dict(totals), now
             )
--- a/citronport/scheduler/direct/wait_queue.py
+++ b/citronport/scheduler/direct/wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an endpoint, and their order."""
+"""Queue of requests that wait for an endpoint."""
 
 import collections.abc
 import dataclasses
@@ -7,26 +7,28 @@
 from citronport.scheduler.direct import models
 
 MAX_WAIT_OBJECTIVES = 2.0
-"""How long a request may wait, in its objectives. Callers of streams leave
-after four objectives at most; the rest is for the endpoint to begin."""
+"""Longest wait as a multiple of a request's objective. Callers of streams
+leave after at most four objectives; the rest is left to the endpoint to
+start."""
 
 MAX_WAIT_DEADLINE_SHARE = 0.5
 """Longest wait as a share of the time until the deadline."""
 
 MIN_RETRY_AFTER_SECONDS = 0.5
-"""When a request that waited in vain should come back, at least."""
+"""Shortest retry delay for a request that waited in vain."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Waiter:
-    """A request that waits.
+    """A waiting request.
 
     Attributes:
         work: the request.
-        since: clock time since when it waits, seconds.
-        tried: endpoints that it must not go to again.
-        handle: what the runtime needs to wake it.
-        leased: whether it is another instance's, which leases its place.
+        waiting_since: clock time at which it started to wait, seconds.
+        tried: endpoints to which it must not be sent again.
+        handle: object with which the runtime wakes it.
+        leased: whether it belongs to another instance, which leases its
+            slot.
     """
 
     work: models.Work
@@ -37,7 +39,7 @@
 
 
 def compute_max_wait(work: models.Work, now: float) -> float:
-    """Return how long a request may wait from now, seconds."""
+    """Return how long a request may wait from now on, seconds."""
     objective = MAX_WAIT_OBJECTIVES * work.route.objective
     left = work.deadline - now
     spent = now - work.arrived
@@ -45,13 +47,13 @@
 
 
 def expect_no_delay(work: models.Work) -> float:
-    """Return no time at all until a first event, for plain services."""
+    """Return 0 as the time to the first event, for plain services."""
     del work
     return 0.0
 
 
 class WaitQueue:
-    """Requests of one service that wait, most urgent first.
+    """Waiting requests of one service, ordered by urgency.
 
     Args:
         expect: returns the time from a send to the first event, seconds.
@@ -67,31 +69,31 @@
         self._waiters: list[Waiter] = []
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self._waiters)
 
     def add(self, waiter: Waiter) -> None:
-        """Let a request wait."""
+        """Add a request."""
         self._waiters.append(waiter)
 
     def contains(self, waiter: Waiter) -> bool:
-        """Return whether a request still waits."""
+        """Return whether a request is still waiting."""
         return waiter in self._waiters
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out that no longer waits."""
+        """Remove a request, if it is still waiting."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
     def list_by_urgency(self, now: float) -> list[Waiter]:
-        """Return all, most urgent first.
-
-        Load: more work than the endpoints take for some seconds. Harm: in
-        order of arrival all would be late, and short work of a low tier
-        would go ahead of what costs its caller most. A higher tier goes
-        first, and within a tier the more urgent route: a late answer of
-        it is still worth more than one in time of the next. Of one route
-        those that can still be in time go before those that are late.
+        """Return all waiting requests, most urgent first.
+
+        During some seconds of overload, order of arrival would make all
+        requests late, and put short requests of a low tier ahead of the most
+        valuable ones. Higher tiers go first, and within a tier the more
+        urgent route, since its late answers are still worth more than timely
+        ones of the next route. Within a route, requests that can still meet
+        their objective go before those that are late.
         """
         return sorted(
             self._waiters, key=lambda w: self._compute_sort_key(w, now)
@@ -100,23 +102,24 @@
     def estimate_wait(
         self, waiter: Waiter, slot_rate: float, now: float
     ) -> float:
-        """Return how long a request will wait at least, seconds.
+        """Return the least time that a request will wait, seconds.
 
-        Load: more work than the endpoints take, for longer than requests
-        wait. Harm: those at the end of the queue wait as long as they may
-        and then hear that they have to come back: the time in which they
-        could have been served is gone. What goes before a request is known
-        when it comes. More urgent ones that come later are not foreseen:
-        counted at the rate of late, they turned away requests in bursts
-        of two seconds that were over before their patience was.
+        Allows refusing a request at once if an overload lasts longer than
+        requests may wait. Otherwise those at the end of the queue would be
+        told to retry only after their longest wait, when the time in which
+        they could have been served is over.
+
+        Counts only requests that are already ahead in the queue. Predicting
+        more urgent arrivals from the recent rate refused requests during
+        two-second bursts that ended before the requests would have timed out.
 
         Args:
-            waiter: the request; it may stand in the queue already.
-            slot_rate: places that come free a second.
+            waiter: the request; it may be in the queue already.
+            slot_rate: slots that become free per second.
             now: clock time, seconds.
 
         Returns:
-            The time; infinite if no place comes free.
+            The time; infinite if no slot becomes free.
         """
         own = self._compute_sort_key(waiter, now)
         ahead = sum(
@@ -133,12 +136,12 @@
         now: float,
         is_full: collections.abc.Callable[[], bool] = lambda: False,
     ) -> list[tuple[Waiter, Any]]:
-        """Take out the requests for which there is a place now.
+        """Remove and return the requests that get a slot now.
 
         Args:
-            choose: returns and books the place of a request, or None.
+            choose: reserves and returns a slot for a request, or None.
             now: clock time, seconds.
-            is_full: whether nobody else can get a place.
+            is_full: returns whether no slot is left for any request.
         """
         matched = []
         for waiter in self.list_by_urgency(now):
