--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -62,7 +62,7 @@
         own: str,
         owners: owners_module.Owners,
         board: load_tracker.LoadTracker,
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
@@ -108,7 +108,7 @@
                 self._tell(owner, self._make_ended(work.request_id, ""))
         return found
 
-    def handle_answer(self, answer: messages.Leasing) -> None:
+    def handle_answer(self, answer: messages.LeaseMessage) -> None:
         """Take an owner's answer."""
         pending = self._pending.get(answer.request)
         if pending is not None:
@@ -256,8 +256,8 @@
             prompt=work.prompt_tokens,
             output=work.output_tokens,
             expected=work.expected_tokens,
-            spent=now - work.arrived,
-            left=work.deadline - now,
+            elapsed_seconds=now - work.arrived,
+            remaining_seconds=work.deadline - now,
             tried=list(tried),
         )
 
--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -68,7 +68,7 @@
         cluster_state: cluster_state_module.ClusterState,
         board: load_tracker.LoadTracker,
         health: health_module.Health,
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
     ) -> None:
         self._own = own
@@ -243,6 +243,6 @@
             output_tokens=ask.output,
             expected_tokens=ask.expected,
             parts=(),
-            arrived=now - ask.spent,
-            deadline=now + ask.left,
+            arrived=now - ask.elapsed_seconds,
+            deadline=now + ask.remaining_seconds,
         )
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -51,7 +51,7 @@
         board: load_tracker.LoadTracker,
         health: health_module.Health,
         is_ready: collections.abc.Callable[[], bool],
-        tell: messages.Tell,
+        tell: messages.SendLeaseMessage,
         ticker: clock.Clock,
         log: eventlog.Log,
     ) -> None:
@@ -82,7 +82,7 @@
         dispatcher.owners = self.owners
         dispatcher.lease_client = self.lease_client
 
-    def handle(self, message: messages.Leasing) -> None:
+    def handle(self, message: messages.LeaseMessage) -> None:
         """Take a message of another instance, or one's own."""
         match message:
             case messages.Ask():
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -37,7 +37,7 @@
         super().setUp()
         self.clock = clock.ManualClock()
         self.peers_known_at = 0.0
-        self.room = samples.Room([], self.clock)
+        self.room = samples.DispatcherFixture([], self.clock)
         self.room.cluster_state.configuration = None
         context = jobs.RelayContext(
             self.room.cluster_state,
