--- a/citronport/scheduler/direct/wait_queue.py
+++ b/citronport/scheduler/direct/wait_queue.py
@@ -147,10 +147,10 @@
         for waiter in self.list_by_urgency(now):
             if is_full():
                 break
-            place = choose(waiter)
-            if place is not None:
+            slot = choose(waiter)
+            if slot is not None:
                 self._waiters.remove(waiter)
-                matched.append((waiter, place))
+                matched.append((waiter, slot))
         return matched
 
     def _compute_sort_key(
--- a/tests/scheduler/direct/test_cold_starts.py
+++ b/tests/scheduler/direct/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""What a cold endpoint gets from many instances that do not agree."""
+"""Tests of the bound on requests to a cold endpoint over all instances."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,22 +9,22 @@
 from citronport.scheduler.direct import roles
 
 RATE = 11.0
-BOUND = RATE * 1.5 + 5
-"""Requests a second above which a cold endpoint may crash."""
+MAX_REQUESTS_PER_SECOND = RATE * 1.5 + 5
+"""Requests per second above which a cold endpoint may crash."""
 
 PROFILE = hypothesis.settings(derandomize=True, deadline=None, max_examples=20)
 
 
-class ColdTest(testtools.TestCase):
-    """Load: a fresh endpoint that looks empty to all instances at once."""
+class ColdStartsTest(testtools.TestCase):
+    """A freshly started endpoint that looks idle to all instances at once."""
 
     @PROFILE
     @hypothesis.given(
         instances=strategies.integers(1, 120),
         gap=strategies.floats(0.02, 0.2),
     )
-    def test_a_burst_stays_within_the_bound(self, instances, gap):
-        """Every instance sends as fast as it may; no second has too much."""
+    def test_burst_stays_within_the_bound(self, instances, gap):
+        """No second exceeds the bound if all instances send at full rate."""
         names = tuple(f"i{n}" for n in range(instances))
         starts = {name: cold_starts.ColdStarts() for name in names}
         sends = []
@@ -40,14 +40,14 @@
         busiest = max(
             sum(1 for s in sends if at <= s < at + 1.0) for at in sends
         )
-        self.assertLessEqual(busiest, BOUND)
+        self.assertLessEqual(busiest, MAX_REQUESTS_PER_SECOND)
         self.assertGreaterEqual(len(sends), 8)
 
-    def test_one_of_several_views_is_late(self):
-        """An instance that knows four of eleven still keeps the bound.
+    def test_instances_with_different_fleet_sizes(self):
+        """The bound holds while instances differ on the fleet size.
 
-        Four machines were just added; the old ones do not know them yet
-        and divide the rate by seven, the new ones by eleven.
+        Four instances have just been added. The seven old ones do not know
+        them yet and divide the rate by seven, the new ones by eleven.
         """
         old = cold_starts.compute_window_limit(RATE, 7) * 7
         new = (
@@ -61,10 +61,10 @@
             )
             * 4
         )
-        self.assertLessEqual(old + new, BOUND)
+        self.assertLessEqual(old + new, MAX_REQUESTS_PER_SECOND)
 
-    def test_warm_again(self):
-        """Past its cold time an endpoint takes what it gets."""
+    def test_warm_endpoint_is_not_limited(self):
+        """There is no bound after the end of the cold time."""
         own = cold_starts.ColdStarts()
         own.set_cold("e", 1.0)
         for _ in range(50):
@@ -73,11 +73,11 @@
         self.assertFalse(own.may_send("e", share, RATE, 0.9))
         self.assertTrue(own.may_send("e", share, RATE, 1.0))
 
-    def test_two_owners_and_instances_that_find_none(self):
-        """Views of who owns an endpoint differ for a moment.
+    def test_two_owners_and_instances_without_owner(self):
+        """The bound holds while instances differ on the owner.
 
-        Two instances hand out places at a cold endpoint at once, and all
-        others that have a part of the rate send by themselves besides.
+        Two instances lease out slots of a cold endpoint at once, and all
+        others with a share of the rate send as well.
         """
         names = tuple(f"i{n}" for n in range(60))
         parts = [roles.Owner(), roles.Owner()]
@@ -95,4 +95,4 @@
         busiest = max(
             sum(1 for s in sends if at <= s < at + 1.0) for at in sends
         )
-        self.assertLessEqual(busiest, BOUND)
+        self.assertLessEqual(busiest, MAX_REQUESTS_PER_SECOND)
--- a/tests/scheduler/direct/test_endpoint_limits.py
+++ b/tests/scheduler/direct/test_endpoint_limits.py
@@ -1,4 +1,4 @@
-"""What an endpoint that names a limit gets from all instances together."""
+"""Tests of the limits of endpoints over all instances."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,52 +9,52 @@
 from citronport.scheduler.direct import roles
 
 WINDOW_SECONDS = 4.0
-OVER = 1.5
-EXTRA = 5
-"""A window may hold so many times the limit, and so many requests more."""
+MAX_RATIO = 1.5
+EXTRA_REQUESTS = 5
+"""Bound for one window: a multiple of the limit plus some requests."""
 
 PROFILE = hypothesis.settings(derandomize=True, deadline=None, max_examples=30)
 
 
 def count_busiest(sends):
-    """Return the most sends within one window."""
+    """Return the largest number of sends within one window."""
     return max(
         (sum(at <= s < at + WINDOW_SECONDS for s in sends) for at in sends),
         default=0,
     )
 
 
-class Sending:
-    """Instances that send as fast as they may, each with its own part."""
+class FleetSimulation:
+    """Instances that send at their full rate, each in its own role."""
 
-    def __init__(self, rate, parts):
-        self.parts = list(parts)
-        self.limits = [endpoint_limits.EndpointLimits() for _ in parts]
+    def __init__(self, rate, roles):
+        self.roles = list(roles)
+        self.limits = [endpoint_limits.EndpointLimits() for _ in roles]
         self.sends = []
         for own in self.limits:
             own.record_limit("e", rate, 0.0)
 
     def run(self, until, start=0.0, active=None):
-        """Let time pass in steps of 25 ms."""
+        """Advance the clock in steps of 25 ms."""
         for step in range(int(start / 0.025), int(until / 0.025)):
             now = step * 0.025
-            pairs = zip(self.limits, self.parts, strict=True)
-            for number, (own, part) in enumerate(pairs):
+            pairs = zip(self.limits, self.roles, strict=True)
+            for number, (own, role) in enumerate(pairs):
                 if active is not None and number not in active:
                     continue
-                if own.may_send("e", part, now):
+                if own.may_send("e", role, now):
                     own.record_send("e")
                     self.sends.append(now)
 
 
-def list_senders(number):
-    """Return the parts of instances that find no owner."""
+def make_sender_roles(number):
+    """Return the roles of instances that find no owner."""
     names = tuple(f"i{n}" for n in range(number))
     return [roles.Sender(name, names) for name in names]
 
 
 class EndpointLimitsTest(testtools.TestCase):
-    """Load: callers that ask for far more than the endpoint takes."""
+    """Callers request far more than the limit of the endpoint."""
 
     @PROFILE
     @hypothesis.given(
@@ -64,20 +64,20 @@
     def test_instances_without_an_owner_stay_within_the_bound(
         self, rate, instances
     ):
-        """Guards against a limit that each instance uses up by itself."""
-        sending = Sending(rate, list_senders(instances))
+        """Guards against each instance using the whole limit on its own."""
+        sending = FleetSimulation(rate, make_sender_roles(instances))
         sending.run(10.0)
-        allowed = OVER * rate * WINDOW_SECONDS + EXTRA
+        allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
         self.assertLessEqual(count_busiest(sending.sends), allowed)
         self.assertGreaterEqual(len(sending.sends), int(10.0 * rate / 3))
 
     @PROFILE
     @hypothesis.given(rate=strategies.floats(0.0, 40.0))
     def test_owner_uses_the_limit(self, rate):
-        """Guards against an endpoint in need that idles."""
-        sending = Sending(rate, [roles.Owner()])
+        """Guards against sending less than a limited endpoint accepts."""
+        sending = FleetSimulation(rate, [roles.Owner()])
         sending.run(10.0)
-        allowed = OVER * rate * WINDOW_SECONDS + EXTRA
+        allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
         self.assertLessEqual(count_busiest(sending.sends), allowed)
         self.assertGreaterEqual(len(sending.sends), int(9.5 * rate) - 1)
 
@@ -85,43 +85,43 @@
     @hypothesis.given(
         rate=strategies.floats(1.0, 40.0), at=strategies.floats(4.0, 8.0)
     )
-    def test_owner_that_another_one_follows(self, rate, at):
-        """Guards against two limits in one window as the owner changes.
+    def test_change_of_owner(self, rate, at):
+        """Guards against using the limit twice when the owner changes.
 
-        The former one goes on for half a second, until it hears.
+        The former owner continues for half a second until it is informed.
         """
-        sending = Sending(rate, [roles.Owner(), roles.Owner()])
+        sending = FleetSimulation(rate, [roles.Owner(), roles.Owner()])
         sending.run(at, active={0})
         sending.run(at + 0.5, start=at)
         sending.run(12.0, start=at + 0.5, active={1})
-        allowed = OVER * rate * WINDOW_SECONDS + EXTRA
+        allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
         self.assertLessEqual(count_busiest(sending.sends), allowed)
 
     @PROFILE
     @hypothesis.given(
         rate=strategies.floats(1.0, 40.0), gap=strategies.floats(0.5, 2.0)
     )
-    def test_owners_that_change_again_and_again(self, rate, gap):
-        """Guards against a full bucket for each owner of a window.
+    def test_repeated_changes_of_owner(self, rate, gap):
+        """Guards against a full bucket for each owner within one window.
 
-        One that has just become the owner has a sender's part at first, as
-        the dispatcher gives it.
+        A new owner is limited to the share of a sender at first, as in the
+        dispatcher.
         """
-        senders = list_senders(7)
-        sending = Sending(rate, senders)
+        senders = make_sender_roles(7)
+        sending = FleetSimulation(rate, senders)
         for turn in range(int(10.0 / gap)):
             owner = turn % len(senders)
             start = turn * gap
             settled = start + min(gap, cold_starts.WINDOW_SECONDS)
-            sending.parts[owner] = senders[owner]
+            sending.roles[owner] = senders[owner]
             sending.run(settled, start=start, active={owner})
-            sending.parts[owner] = roles.Owner()
+            sending.roles[owner] = roles.Owner()
             sending.run(start + gap, start=settled, active={owner})
-        allowed = OVER * rate * WINDOW_SECONDS + EXTRA
+        allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
         self.assertLessEqual(count_busiest(sending.sends), allowed)
 
-    def test_others_hear_of_a_limit_and_of_its_lifting(self):
-        """Guards against an instance that goes on by an old answer."""
+    def test_limit_and_its_removal_are_announced(self):
+        """Guards against an instance that keeps using an old answer."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
         self.assertTrue(one.record_limit("e", 2.5, 1.0))
         two.apply_updates(one.list_updates(1.1), 1.1)
@@ -131,20 +131,20 @@
         self.assertIsNone(one.get_rate("e"))
         self.assertEqual((0, 0), (one.count_limited(), two.count_limited()))
 
-    def test_old_word_does_not_replace_a_new_one(self):
-        """Guards against a limit that comes back by a late report."""
+    def test_old_update_does_not_replace_a_newer_one(self):
+        """Guards against a late report that restores an old limit."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
         one.record_limit("e", 2.5, 1.0)
         late = one.list_updates(1.1)
         two.record_limit("e", None, 1.5)
         two.apply_updates([(n, r, age + 600) for n, r, age in late], 1.7)
         self.assertIsNone(two.get_rate("e"))
-        # And the one that told it is put right.
+        # The sender of the old update gets the newer one.
         one.apply_updates(two.list_updates(1.8), 1.8)
         self.assertIsNone(one.get_rate("e"))
 
-    def test_instance_that_starts_later_hears_of_all(self):
-        """Guards against a restart that knows no limit."""
+    def test_new_instance_receives_all_limits(self):
+        """Guards against a restarted instance that knows no limits."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
         for number in range(6):
             one.record_limit(f"e{number}", 2.0, 0.0)
@@ -154,7 +154,7 @@
         self.assertEqual(6, two.count_limited())
 
     def test_gone_endpoint_is_forgotten(self):
-        """Its name may be used again by one that names no limit."""
+        """A new endpoint without a limit may get the same name."""
         one = endpoint_limits.EndpointLimits()
         one.record_limit("e", 2.0, 0.0)
         one.forget("e")
@@ -162,7 +162,11 @@
         self.assertEqual([], one.list_updates(0.1))
 
     def test_gone_endpoint_is_not_told_for_ever(self):
-        """Guards against instances that remind each other of one gone."""
+        """Guards against instances that keep a gone endpoint alive.
+
+        One instance repeats the limit to another that has already removed
+        the endpoint, and gets it back after removing it itself.
+        """
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
         one.record_limit("e", 2.0, 0.0)
         two.apply_updates(one.list_updates(0.1), 0.1)
--- a/tests/scheduler/direct/test_fingerprints.py
+++ b/tests/scheduler/direct/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which requests count as repeats of each other."""
+"""Tests of which requests count as repeats of each other."""
 
 import testtools
 
@@ -9,14 +9,14 @@
 
 
 class FingerprintTest(testtools.TestCase):
-    """Two requests at a time."""
+    """Fingerprints of equal and of different requests."""
 
-    def test_repeat_has_the_same(self):
-        """In every process, as instances tell each other of it."""
+    def test_repeat_has_the_same_fingerprint(self):
+        """It is equal in all processes, since instances exchange it."""
         self.assertEqual(KNOWN, fingerprints.make_fingerprint(*REQUEST))
 
-    def test_each_part_counts(self):
-        """Guards against a bar for requests that ask for something else."""
+    def test_each_part_changes_the_fingerprint(self):
+        """Guards against barring a different request."""
         others = [
             ("desk", "POST", "shop.example", "/review/1?a=b", b"body"),
             ("shop", "PUT", "shop.example", "/review/1?a=b", b"body"),
--- a/tests/scheduler/direct/test_fleet_load.py
+++ b/tests/scheduler/direct/test_fleet_load.py
@@ -1,8 +1,8 @@
-"""Many instances before unlike engines: alone, and with an owner of places.
+"""Compares scheduling by many instances with scheduling by one owner.
 
-A model without sockets: engines that admit in order of arrival and read one
-prompt at a time, requests of three sizes as on the deployments' sheets, and
-instances that hear of each other late.
+Simulates engines of different speeds that admit in order of arrival and
+process one prompt at a time, requests of three sizes as in the documented
+deployments, and instances with delayed reports. Uses no sockets.
 """
 
 import dataclasses
@@ -26,60 +26,65 @@
 ENDPOINTS = 45
 SLOTS = 6
 SECONDS = 5.0
-REPORT_SECONDS = 0.75
+REPORT_INTERVAL_SECONDS = 0.75
 """Pause between two reports of an instance in a fleet of sixty."""
 
-RETRY_SECONDS = 0.02
-"""Pause between two looks at the queue of an instance."""
+DISPATCH_INTERVAL_SECONDS = 0.02
+"""Interval at which an instance dispatches its queue."""
 
-KINDS = (
+REQUEST_KINDS = (
     (74.8, 6610, 378, 0.8, 0),
     (94.9, 628, 288, 0.3, 1),
     (115.0, 1800, 27, 0.4, 2),
 )
-"""Requests a second, prompt tokens, output tokens, objective, tier."""
+"""Requests per second, prompt tokens, output tokens, objective in seconds and
+tier."""
 
-PACES = (0.55, 1.0, 2.8)
-"""Time that an engine takes for a step, as multiples of a common one's."""
+RELATIVE_STEP_TIMES = (0.55, 1.0, 2.8)
+"""Step times of the engines, as multiples of a typical one."""
 
 STEP_SECONDS = 0.0032
-"""Time of a step of a common engine: each running request gets a token."""
+"""Step time of a typical engine; a step generates one token per request."""
 
-BUSY_FACTOR = 1.6
-"""How much longer a token takes than a bare step, as an engine that is in
-use reads others' prompts between its steps."""
+BUSY_STEP_FACTOR = 1.6
+"""Time of a token relative to a step, since a busy engine processes prompts
+of other requests between its steps."""
 
-READ_SECONDS = 0.0000195
-"""Time in which it reads a prompt token, with the steps in between."""
+PREFILL_TOKEN_SECONDS = 0.0000195
+"""Prefill time per prompt token, including the steps in between."""
 
 
 class Engine:
-    """An engine that admits in order of arrival."""
+    """Simulated engine that admits requests in order of arrival."""
 
-    def __init__(self, pace):
-        self.pace = pace
+    def __init__(self, relative_step_time):
+        self.relative_step_time = relative_step_time
         self._slots = [0.0] * SLOTS
-        self._reads_until = 0.0
+        self._prefill_until = 0.0
 
     def run(self, work, now):
-        """Return the times of a request's first event and of its end."""
+        """Return the times of the first event and the end of a request."""
         admitted = max(now, heapq.heappop(self._slots))
-        reading = self.pace * work.prompt_tokens * READ_SECONDS
-        first = max(admitted, self._reads_until) + reading
-        self._reads_until = first
-        step = STEP_SECONDS * BUSY_FACTOR
-        end = first + self.pace * work.expected_tokens * step
+        prefill = (
+            self.relative_step_time
+            * work.prompt_tokens
+            * PREFILL_TOKEN_SECONDS
+        )
+        first = max(admitted, self._prefill_until) + prefill
+        self._prefill_until = first
+        step = STEP_SECONDS * BUSY_STEP_FACTOR
+        end = first + self.relative_step_time * work.expected_tokens * step
         heapq.heappush(self._slots, end)
         return first, end
 
 
-class Chooser:
-    """What one instance knows, and its queue."""
+class SimulatedInstance:
+    """State of one instance, with its queue."""
 
     def __init__(self):
-        self.board = load_tracker.LoadTracker()
+        self.loads = load_tracker.LoadTracker()
         self.selector = selection.Selector(
-            self.board,
+            self.loads,
             health_module.Health(),
             cold_starts.ColdStarts(),
             endpoint_limits.EndpointLimits(),
@@ -89,173 +94,187 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """Requests that were asked, and of these in time and never sent."""
+    """Number of requests, and of those in time and refused."""
 
-    asked: int = 0
+    total: int = 0
     in_time: int = 0
     refused: int = 0
 
 
-class Model:
-    """A fleet on a virtual clock.
+class FleetSimulation:
+    """Discrete event simulation of a fleet.
 
     Args:
-        choosers: instances that choose; one of them is an owner.
-        pressure: load, as a multiple of the sheet's.
+        instances: number of scheduling instances; 1 simulates an owner.
+        load_factor: load, as a multiple of the documented one.
     """
 
-    def __init__(self, choosers, pressure):
-        # Arrivals are the same for all fleets, whatever these draw.
+    def __init__(self, instances, load_factor):
+        # A separate generator makes arrivals the same in all fleets.
         self._arrivals = random.Random(7)
-        self._draw = random.Random(8)
-        self._choosers = [Chooser() for _ in range(choosers)]
-        self._drawn = selection.compute_sample_size(ENDPOINTS, choosers)
+        self._random = random.Random(8)
+        self._instances = [SimulatedInstance() for _ in range(instances)]
+        self._sample_size = selection.compute_sample_size(ENDPOINTS, instances)
         names = [f"e{n}" for n in range(ENDPOINTS)]
         self._engines = {
-            name: Engine(PACES[number % len(PACES)])
+            name: Engine(
+                RELATIVE_STEP_TIMES[number % len(RELATIVE_STEP_TIMES)]
+            )
             for number, name in enumerate(names)
         }
         self._endpoints = [
             samples.make_endpoint(name, slots=SLOTS) for name in names
         ]
         self._service = samples.make_service(cold_rate=0.0)
-        self._share = roles.Sender("own", ("own",))
+        self._role = roles.Sender("own", ("own",))
         self._events = []
-        self._number = itertools.count()
+        self._sequence = itertools.count()
         self.outcome = Outcome()
-        for chooser in self._choosers:
+        for instance in self._instances:
             for name, engine in self._engines.items():
-                pace = engine.pace * STEP_SECONDS / runs.SECONDS_PER_MS
-                chooser.board.apply_step_ms("all", name, pace)
-        self._plan(pressure)
+                step_ms = (
+                    engine.relative_step_time
+                    * STEP_SECONDS
+                    / runs.SECONDS_PER_MS
+                )
+                instance.loads.apply_step_ms("all", name, step_ms)
+        self._schedule_all(load_factor)
 
-    def play(self):
-        """Play all events; return the outcome."""
+    def run(self):
+        """Process all events; return the outcome."""
         while self._events:
-            now, _, act, arguments = heapq.heappop(self._events)
-            act(now, *arguments)
+            now, _, callback, arguments = heapq.heappop(self._events)
+            callback(now, *arguments)
         return self.outcome
 
-    def _at(self, when, act, *arguments):
+    def _schedule(self, when, callback, *arguments):
         heapq.heappush(
-            self._events, (when, next(self._number), act, arguments)
+            self._events, (when, next(self._sequence), callback, arguments)
         )
 
-    def _plan(self, pressure):
-        for rate, prompt, output, objective, tier in KINDS:
+    def _schedule_all(self, load_factor):
+        for rate, prompt, output, objective, tier in REQUEST_KINDS:
             route = samples.make_route(objective=objective, tier=tier)
             now = 0.0
             while now < SECONDS:
-                now += self._arrivals.expovariate(rate * pressure)
+                now += self._arrivals.expovariate(rate * load_factor)
                 size = min(4.0, self._arrivals.lognormvariate(-0.3, 0.8))
                 work = samples.make_work(
-                    f"r{next(self._number)}",
+                    f"r{next(self._sequence)}",
                     route,
                     now,
                     prompt_tokens=int(prompt * size),
                     expected_tokens=int(output * size) + 1,
                 )
-                chooser = self._draw.choice(self._choosers)
-                self._at(now, self._arrive, chooser, work)
-        for number, chooser in enumerate(self._choosers):
-            phase = REPORT_SECONDS * number / len(self._choosers)
-            if len(self._choosers) > 1:
-                self._at(phase, self._report, chooser, number)
-            self._at(phase, self._look_again, chooser)
-
-    def _arrive(self, now, chooser, work):
-        self.outcome.asked += 1
-        chooser.queue.add(wait_queue.Waiter(work=work, waiting_since=now))
-        self._look(now, chooser)
-
-    def _look_again(self, now, chooser):
-        self._look(now, chooser)
+                instance = self._random.choice(self._instances)
+                self._schedule(now, self._arrive, instance, work)
+        for number, instance in enumerate(self._instances):
+            phase = REPORT_INTERVAL_SECONDS * number / len(self._instances)
+            if len(self._instances) > 1:
+                self._schedule(phase, self._report, instance, number)
+            self._schedule(phase, self._dispatch_periodically, instance)
+
+    def _arrive(self, now, instance, work):
+        self.outcome.total += 1
+        instance.queue.add(wait_queue.Waiter(work=work, waiting_since=now))
+        self._dispatch(now, instance)
+
+    def _dispatch_periodically(self, now, instance):
+        self._dispatch(now, instance)
         if now < SECONDS + 2.0:
-            self._at(now + RETRY_SECONDS, self._look_again, chooser)
+            self._schedule(
+                now + DISPATCH_INTERVAL_SECONDS,
+                self._dispatch_periodically,
+                instance,
+            )
 
-    def _look(self, now, chooser):
-        if not len(chooser.queue):
+    def _dispatch(self, now, instance):
+        if not len(instance.queue):
             return
         usable = [
             e
             for e in self._endpoints
-            if chooser.selector.has_capacity(
-                e, self._service, self._share, now
+            if instance.selector.has_capacity(
+                e, self._service, self._role, now
             )
         ]
 
         def choose(waiter):
-            seen = [e for e in usable if self._has_room(chooser, e, now)]
-            if self._drawn < len(seen):
-                seen = self._draw.sample(seen, self._drawn)
-            return self._send(now, chooser, waiter.work, seen)
+            seen = [e for e in usable if self._has_capacity(instance, e, now)]
+            if self._sample_size < len(seen):
+                seen = self._random.sample(seen, self._sample_size)
+            return self._send(now, instance, waiter.work, seen)
 
-        chooser.queue.match(choose, now, lambda: not usable)
-        for waiter in chooser.queue.list_by_urgency(now):
+        instance.queue.match(choose, now, lambda: not usable)
+        for waiter in instance.queue.list_by_urgency(now):
             if wait_queue.compute_max_wait(waiter.work, now) <= 0:
-                chooser.queue.remove(waiter)
+                instance.queue.remove(waiter)
                 self.outcome.refused += 1
 
-    def _has_room(self, chooser, endpoint, now):
-        return chooser.selector.has_capacity(
-            endpoint, self._service, self._share, now
+    def _has_capacity(self, instance, endpoint, now):
+        return instance.selector.has_capacity(
+            endpoint, self._service, self._role, now
         )
 
-    def _send(self, now, chooser, work, seen):
-        place = chooser.selector.choose(work, self._service, seen, now)
-        if place is None:
+    def _send(self, now, instance, work, candidates):
+        placement = instance.selector.choose(
+            work, self._service, candidates, now
+        )
+        if placement is None:
             return None
-        name = place.endpoint.name
-        chooser.board.record_send(name, work, now)
+        name = placement.endpoint.name
+        instance.loads.record_send(name, work, now)
         first, end = self._engines[name].run(work, now)
         if first <= work.arrived + work.route.objective:
             self.outcome.in_time += 1
-        self._at(first, self._begin, chooser, name, work)
-        self._at(end, self._end, chooser, name, work)
-        return place
-
-    def _begin(self, now, chooser, name, work):
-        chooser.board.record_first_event(name, work.request_id, now)
-
-    def _end(self, now, chooser, name, work):
-        chooser.board.record_end(name, work.request_id)
-        self._look(now, chooser)
-
-    def _report(self, now, chooser, number):
-        rows = chooser.board.make_report_rows(0)
-        for other in self._choosers:
-            if other is not chooser:
-                other.board.apply_report(f"i{number}", rows)
+        self._schedule(first, self._record_first_event, instance, name, work)
+        self._schedule(end, self._record_end, instance, name, work)
+        return placement
+
+    def _record_first_event(self, now, instance, name, work):
+        instance.loads.record_first_event(name, work.request_id, now)
+
+    def _record_end(self, now, instance, name, work):
+        instance.loads.record_end(name, work.request_id)
+        self._dispatch(now, instance)
+
+    def _report(self, now, instance, number):
+        rows = instance.loads.make_report_rows(0)
+        for other in self._instances:
+            if other is not instance:
+                other.loads.apply_report(f"i{number}", rows)
         if now < SECONDS:
-            self._at(now + REPORT_SECONDS, self._report, chooser, number)
+            self._schedule(
+                now + REPORT_INTERVAL_SECONDS, self._report, instance, number
+            )
 
 
 class FleetLoadTest(testtools.TestCase):
-    """Load: 285 requests a second of three sizes at 45 unlike engines."""
+    """285 requests per second of three sizes, 45 engines of unequal speed."""
 
-    def play(self, choosers, pressure=1.0):
-        """Return the outcome of a fleet."""
-        return Model(choosers, pressure).play()
+    def simulate(self, instances, load_factor=1.0):
+        """Return the outcome of a simulated fleet."""
+        return FleetSimulation(instances, load_factor).run()
 
-    def test_an_owner_begins_more_in_time_than_sixty_that_hear_late(self):
-        """Callers of a calm day find idle engines and are late all the same.
+    def test_owner_meets_more_objectives_than_sixty_instances(self):
+        """Guards against late requests although there are idle engines.
 
-        Each of sixty instances sees a sixtieth of the work and hears of the
-        rest 0.75 s late: several send to one engine, and a short request
-        waits there behind a long prompt while others idle.
+        Each of sixty instances sees a sixtieth of the requests and learns of
+        the rest 0.75 s later. Several send to one engine, where short
+        requests wait behind a long prompt while other engines idle.
         """
-        alone = self.play(INSTANCES)
-        owned = self.play(1)
-        self.assertEqual(alone.asked, owned.asked)
-        self.assertGreater(owned.in_time, 0.8 * owned.asked)
+        alone = self.simulate(INSTANCES)
+        owned = self.simulate(1)
+        self.assertEqual(alone.total, owned.total)
+        self.assertGreater(owned.in_time, 0.8 * owned.total)
         self.assertGreater(owned.in_time, 1.3 * alone.in_time)
 
-    def test_a_burst_beyond_the_engines(self):
-        """Twice the usual: not all can be in time, but more can.
+    def test_burst_beyond_the_capacity_of_the_engines(self):
+        """Guards against idle slots during an overload of twice the load.
 
-        One queue keeps every slot busy with the most urgent request; sixty
-        queues leave slots idle that their instances take for full.
+        One queue keeps each slot busy with the most urgent request. Sixty
+        queues leave slots idle that their instances assume to be in use.
         """
-        alone = self.play(INSTANCES, 2.0)
-        owned = self.play(1, 2.0)
+        alone = self.simulate(INSTANCES, 2.0)
+        owned = self.simulate(1, 2.0)
         self.assertGreater(owned.in_time, 1.2 * alone.in_time)
--- a/tests/scheduler/direct/test_ownership.py
+++ b/tests/scheduler/direct/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns endpoints, as many instances name it without agreement."""
+"""Tests of choosing the owners of endpoints without coordination."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 def make_candidates(count, capacity=1.0, name="i"):
-    """Return candidates of one capacity."""
+    """Return candidates of equal capacity."""
     return tuple(
         ownership.Candidate(instance=f"{name}{n}", capacity=capacity)
         for n in range(count)
@@ -16,10 +16,10 @@
 
 
 class OwnershipTest(testtools.TestCase):
-    """The ranking that all instances share."""
+    """The choice of an owner, which is the same on all instances."""
 
-    def test_all_name_the_same_in_any_order(self):
-        """Instances list the others in different orders."""
+    def test_choice_does_not_depend_on_the_order(self):
+        """Instances list each other in different orders."""
         candidates = make_candidates(60)
         named = {
             ownership.choose_owner(POOL, candidates),
@@ -27,11 +27,11 @@
         }
         self.assertEqual(1, len(named))
 
-    def test_one_that_goes_moves_only_what_it_owned(self):
-        """Load: instances that are replaced all day.
+    def test_removed_instance_moves_only_its_own_pools(self):
+        """Guards against pools that lose their owner's view of the loads.
 
-        A pool whose owner stays keeps it, so that its view of the loads
-        is not lost with each instance that goes.
+        Instances are replaced all day. A pool keeps its owner as long as
+        that instance remains.
         """
         candidates = make_candidates(60)
         pools = [ownership.Pool(service="s", number=n) for n in range(40)]
@@ -44,8 +44,8 @@
                 self.assertEqual(before[pool], owner)
         self.assertNotEqual(gone, ownership.choose_owner(pools[0], rest))
 
-    def test_small_machines_own_nothing_beside_large_ones(self):
-        """Load: machines of unlike size; a small one is kept busy."""
+    def test_small_instances_own_nothing_beside_large_ones(self):
+        """Small instances are busy with their own callers."""
         candidates = (
             *make_candidates(50, 0.5),
             *make_candidates(10, 2.1, "large"),
@@ -53,12 +53,12 @@
         owner = ownership.choose_owner(POOL, candidates)
         self.assertTrue(owner.startswith("large"))
 
-    def test_nobody_is_there(self):
-        """An instance that hears nobody and is not ready itself."""
+    def test_no_candidates(self):
+        """An instance without peers that is not ready itself has no owner."""
         self.assertIsNone(ownership.choose_owner(POOL, ()))
 
-    def test_pools_grow_with_the_endpoints(self):
-        """Some thousand endpoints fall to many owners, about evenly."""
+    def test_number_of_pools_grows_with_the_endpoints(self):
+        """Thousands of endpoints are spread evenly over many owners."""
         self.assertEqual(1, ownership.count_pools(0))
         self.assertEqual(1, ownership.count_pools(45))
         pools = ownership.count_pools(5100)
--- a/tests/scheduler/direct/test_quota.py
+++ b/tests/scheduler/direct/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces over instances that hear each other late or not."""
+"""Tests of workspace limits with delayed or missing reports."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,7 +9,7 @@
 
 RATE = 10_000.0
 BURST = 10_000.0
-WINDOW = 8.0
+WINDOW_SECONDS = 8.0
 OVER = 0.25
 SLACK = 10_000.0
 PROFILE = hypothesis.settings(derandomize=True, deadline=None, max_examples=20)
@@ -27,97 +27,101 @@
     )
 
 
-def exchange(part, now):
-    """Let all instances of a part tell each other their totals."""
-    for index, one in enumerate(part):
-        for other in part:
+def exchange_totals(partition, now):
+    """Exchange totals between all instances of a partition."""
+    for index, one in enumerate(partition):
+        for other in partition:
             if other is not one:
                 other.apply_totals(
                     str(index), "1", dict(one.get_totals()), now
                 )
 
 
-def press(parts, seconds, units, lag=0.1, deaf=0.0, started=-10.0):
-    """Let one workspace press on every instance as hard as it can.
+def flood(
+    partitions, seconds, units, lag=0.1, silent_seconds=0.0, started=-10.0
+):
+    """Simulate a workspace that floods all instances with requests.
 
     Args:
-        parts: number of instances in each part of the fleet; instances
-            of one part hear each other.
-        seconds: how long.
-        units: of each request.
+        partitions: number of instances in each partition of the fleet;
+            instances exchange reports within a partition.
+        seconds: duration.
+        units: units of each request.
         lag: pause between two reports, seconds.
-        deaf: time at the start in which no report arrives, seconds.
-        started: when the instances started, seconds.
+        silent_seconds: time at the start in which no report arrives.
+        started: clock time of the instances' start, seconds.
 
     Returns:
-        Time and units of each request that passed.
+        Time and units of each admitted request.
     """
-    total = sum(parts)
+    total = sum(partitions)
     fleet = [
         [quota.Quotas(OVER, SLACK, started) for _ in range(size)]
-        for size in parts
+        for size in partitions
     ]
     workspace = make_workspace()
-    passed = []
+    admitted = []
     now = 0.0
     if started < now:
-        # Instances that run for a while have heard of each other.
-        for part in fleet:
-            exchange(part, now)
+        # Instances that have run for a while know each other's totals.
+        for partition in fleet:
+            exchange_totals(partition, now)
     while now < seconds:
-        for part in fleet:
-            reach = len(part) / total
-            for one in part:
+        for partition in fleet:
+            reach = len(partition) / total
+            for one in partition:
                 for _ in range(10):
                     wait = one.admit(
-                        workspace, units, reach, now, len(part), lag
+                        workspace, units, reach, now, len(partition), lag
                     )
                     if wait is None:
-                        passed.append((now, units))
-            if now >= deaf:
-                exchange(part, now)
+                        admitted.append((now, units))
+            if now >= silent_seconds:
+                exchange_totals(partition, now)
         now += lag
-    return passed
+    return admitted
 
 
-def count_busiest(passed):
-    """Return the most units that passed within a window."""
+def count_busiest_window(admitted):
+    """Return the largest number of units admitted within a window."""
     return max(
-        sum(u for t, u in passed if at <= t < at + WINDOW) for at, _ in passed
+        sum(u for t, u in admitted if at <= t < at + WINDOW_SECONDS)
+        for at, _ in admitted
     )
 
 
 class QuotaTest(testtools.TestCase):
-    """Load: one workspace at many times its limit, on all instances."""
+    """One workspace sends many times its limit to all instances."""
 
     @PROFILE
     @hypothesis.given(
-        parts=strategies.lists(
+        partitions=strategies.lists(
             strategies.integers(1, 5), min_size=1, max_size=4
         ),
         units=strategies.sampled_from((200.0, 1000.0)),
     )
-    def test_parts_of_a_fleet_keep_the_limit_together(self, parts, units):
-        """However the fleet is cut, the sum stays within the tolerance."""
-        passed = press(parts, 12.0, units)
-        bound = (RATE * WINDOW + BURST) * (1 + OVER) + SLACK
-        # What all instances let pass between two reports comes on top of
-        # the first burst only.
+    def test_partitioned_fleet_keeps_the_limit(self, partitions, units):
+        """The sum stays within the tolerance in any network partition."""
+        admitted = flood(partitions, 12.0, units)
+        bound = (RATE * WINDOW_SECONDS + BURST) * (1 + OVER) + SLACK
+        # The units that all instances admit between two reports come on top
+        # of the first burst only.
         self.assertLessEqual(
-            count_busiest(passed), bound + sum(parts) * units * 10
+            count_busiest_window(admitted),
+            bound + sum(partitions) * units * 10,
         )
 
-    def test_a_majority_serves_the_limit_whole(self):
-        """Two of seven instances are cut off: the others lose nothing."""
-        passed = press([5, 1, 1], 12.0, 200.0)
-        served = sum(u for _, u in passed)
+    def test_majority_admits_the_whole_limit(self):
+        """Five of seven instances use the whole limit without the others."""
+        admitted = flood([5, 1, 1], 12.0, 200.0)
+        served = sum(u for _, u in admitted)
         self.assertGreaterEqual(served, RATE * 11)
 
-    def test_refused_callers_come_back_one_after_the_other(self):
-        """Ten callers are refused in one moment.
+    def test_retry_delays_are_staggered(self):
+        """Guards against refused callers that all return at the same time.
 
-        Each hears a later time, a request's worth of the limit apart, so
-        that each finds its units free when it is back.
+        The delays of callers refused at once are apart by the time in which
+        the limit provides the units of one request.
         """
         workspace = make_workspace(rate=1000.0, burst=1000.0)
         quotas = quota.Quotas()
@@ -126,29 +130,30 @@
         self.assertEqual([0.1, 0.501, 1.001, 1.501], waits)
 
     def test_large_requests_pass_among_small_ones(self):
-        """A workspace at four times its limit sends both kinds.
+        """Guards against small requests that starve large ones.
 
-        A large request is refused no more often than a small one: a season
-        of receipts must not wait until nobody asks for a status.
+        At four times its limit, a workspace's large requests are refused no
+        more often than its small ones.
         """
         quotas = quota.Quotas()
         workspace = make_workspace(rate=1000.0, burst=1000.0)
         asked = {100.0: 0, 900.0: 0}
-        passed = {100.0: 0, 900.0: 0}
+        admitted = {100.0: 0, 900.0: 0}
         now = 0.0
         for step in range(2000):
             units = 900.0 if step % 3 == 0 else 100.0
             asked[units] += 1
             if quotas.admit(workspace, units, 1.0, now) is None:
-                passed[units] += 1
+                admitted[units] += 1
             now += 0.1
-        shares = [passed[units] / asked[units] for units in (100.0, 900.0)]
+        shares = [admitted[units] / asked[units] for units in (100.0, 900.0)]
         self.assertGreater(shares[1], 0.75 * shares[0])
 
-    def test_a_long_request_locks_nobody_out_for_long(self):
-        """One request of six bursts passes in a fleet of fresh reports.
+    def test_long_request_blocks_others_only_briefly(self):
+        """Guards against a long block after a request of six bursts.
 
-        Those after it wait until a burst is paid back, and no longer.
+        If reports are frequent, later requests wait only until one burst is
+        paid back.
         """
         quotas = quota.Quotas()
         workspace = make_workspace(rate=1000.0, burst=1000.0)
@@ -157,8 +162,8 @@
         self.assertIsNotNone(quotas.admit(workspace, 1.0, 1.0, 0.5, 7, 0.1))
         self.assertIsNone(quotas.admit(workspace, 1.0, 1.0, 1.7, 7, 0.1))
 
-    def test_within_its_limit_nobody_is_refused(self):
-        """A caller below the limit on all instances is always served."""
+    def test_caller_within_the_limit_is_never_refused(self):
+        """A caller below the limit is admitted on all instances."""
         fleet = [quota.Quotas(OVER, SLACK) for _ in range(7)]
         workspace = make_workspace()
         now, refused = 0.0, 0
@@ -175,8 +180,8 @@
             now += 0.1
         self.assertEqual(0, refused)
 
-    def test_an_old_total_is_not_charged_again(self):
-        """Reports that overtake each other charge nothing twice."""
+    def test_reordered_totals_are_not_charged_twice(self):
+        """Reports that arrive out of order are not charged twice."""
         workspace = make_workspace()
         quotas = quota.Quotas()
         quotas.admit(workspace, 1.0, 1.0, 0.0)
@@ -186,12 +191,12 @@
         quotas.apply_totals("other", "1", {"w": 6000.0}, 0.0)
         self.assertIsNone(quotas.admit(workspace, 3000.0, 1.0, 0.0))
 
-    def test_a_new_instance_does_not_pay_for_the_past(self):
-        """One instance of seven starts anew after a day of work.
+    def test_new_instance_is_not_charged_for_past_usage(self):
+        """Guards against a restarted instance that refuses all requests.
 
-        The others' first reports tell totals of a day. The new instance
-        serves its callers as they do, and charges only what they let pass
-        from then on.
+        One of seven instances restarts, and the first reports of the others
+        contain the totals of a whole day. Only their usage from then on is
+        charged.
         """
         quotas = quota.Quotas()
         workspace = make_workspace()
@@ -202,8 +207,8 @@
         quotas.apply_totals("a", "1", {"w": 1e9 + BURST}, 0.0)
         self.assertIsNotNone(quotas.admit(workspace, 9000.0, 1.0, 0.1))
 
-    def test_an_instance_that_started_anew_counts_from_nothing(self):
-        """What it has let pass since its start is charged whole."""
+    def test_totals_of_a_restarted_instance_count_from_zero(self):
+        """All units that it has admitted since its restart are charged."""
         quotas = quota.Quotas()
         workspace = make_workspace()
         quotas.apply_totals("other", "1", {"w": 5000.0}, 0.0)
@@ -211,49 +216,55 @@
         quotas.apply_totals("other", "2", {"w": BURST}, 0.0)
         self.assertIsNotNone(quotas.admit(workspace, 1.0, 1.0, 0.0))
 
-    def test_one_instance_away_takes_little_of_the_tolerance(self):
-        """One of seven is killed and stays known for half a minute.
+    def test_missing_instance_uses_little_of_the_tolerance(self):
+        """Guards against refusals within the limit due to late reports.
 
-        The others go on to use most of what operators tolerate: callers
-        within their limit are not refused for views that are late.
+        One of seven instances is killed but stays known for half a minute.
+        The others still use most of the tolerance.
         """
-        passed = press([6, 1], 12.0, 200.0)
-        served = sum(u for _, u in passed)
+        admitted = flood([6, 1], 12.0, 200.0)
+        served = sum(u for _, u in admitted)
         self.assertGreater(served, RATE * 12 * 1.05)
 
-    def test_all_start_anew_under_a_flood(self):
-        """All instances are killed while one workspace floods them.
+    def test_all_instances_restart_under_a_flood(self):
+        """Guards against exceeding the limit when all totals are lost.
 
-        They forget what they let pass. Before and after together stay
-        within what operators tolerate in one of their windows, at any
-        time of the kill, and though the new ones don't hear each other in
-        the first 0.3 s.
+        All instances are killed during a flood, at different times. The
+        units admitted before and after stay within the tolerance of one
+        window, although no reports arrive in the first 0.3 s after the
+        restart.
         """
-        # What passes before the first report comes on top, as above.
-        bound = (RATE * WINDOW + BURST) * (1 + OVER) + SLACK + 7 * 200 * 10
+        # Units admitted before the first report come on top, as above.
+        bound = (
+            (RATE * WINDOW_SECONDS + BURST) * (1 + OVER) + SLACK + 7 * 200 * 10
+        )
         for killed in (1.0, 3.0, 5.0, 7.0):
-            before = press([7], killed, 200.0)
-            after = press(
-                [7], WINDOW - killed - 1.0, 200.0, deaf=0.3, started=0.0
+            before = flood([7], killed, 200.0)
+            after = flood(
+                [7],
+                WINDOW_SECONDS - killed - 1.0,
+                200.0,
+                silent_seconds=0.3,
+                started=0.0,
             )
-            passed = before + [(at + killed + 1.0, u) for at, u in after]
-            self.assertLessEqual(count_busiest(passed), bound)
+            admitted = before + [(at + killed + 1.0, u) for at, u in after]
+            self.assertLessEqual(count_busiest_window(admitted), bound)
 
-    def test_a_flood_in_a_large_fleet_of_late_reports(self):
-        """Load: one workspace floods forty instances at once.
+    def test_flood_in_a_large_fleet_with_late_reports(self):
+        """Guards against forty instances that admit the same units.
 
-        Their reports are a second old. They see the same units left, and
-        each hands out its part of them only; the sum stays within what
-        operators tolerate, though each lets one request pass at any time.
+        With reports that are a second old, all see the same units left, and
+        each admits only its share of them. The sum stays within the
+        tolerance although each may admit one request at any time.
         """
         fleet = 40
-        passed = press([fleet], 16.0, 200.0, lag=1.0)
-        bound = (RATE * WINDOW + BURST) * (1 + OVER) + SLACK
-        self.assertLessEqual(count_busiest(passed), bound)
-        self.assertGreater(sum(u for _, u in passed), 0.8 * RATE * 16)
+        admitted = flood([fleet], 16.0, 200.0, lag=1.0)
+        bound = (RATE * WINDOW_SECONDS + BURST) * (1 + OVER) + SLACK
+        self.assertLessEqual(count_busiest_window(admitted), bound)
+        self.assertGreater(sum(u for _, u in admitted), 0.8 * RATE * 16)
 
-    def test_what_has_not_run_is_given_back(self):
-        """A refused request's units serve the next one, everywhere."""
+    def test_refunded_units_can_be_used_again(self):
+        """The units of a refused request are available on all instances."""
         quotas, other = quota.Quotas(), quota.Quotas()
         workspace = make_workspace()
         other.admit(workspace, 1.0, 1.0, 0.0)
@@ -265,7 +276,7 @@
         self.assertIsNone(other.admit(workspace, 9000.0, 1.0, 0.0))
 
     def test_no_limit(self):
-        """A workspace without a limit always passes."""
+        """Requests of a workspace without a limit are always admitted."""
         quotas = quota.Quotas()
         workspace = make_workspace(rate=0.0)
         self.assertIsNone(quotas.admit(workspace, 1e9, 1.0, 0.0))
--- a/tests/scheduler/direct/test_rendezvous.py
+++ b/tests/scheduler/direct/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""What instances agree on without a message."""
+"""Tests of rendezvous hashing."""
 
 import collections
 
@@ -8,17 +8,17 @@
 
 
 class ChooseTest(testtools.TestCase):
-    """Load: instances of unlike sizes, callers that may name a few."""
+    """Instances of unequal sizes, of which each caller gets a few."""
 
     def setUp(self):
-        """Make a fleet of which a tenth is four times as large."""
+        """Create a fleet with four times the capacity on every tenth."""
         super().setUp()
         self.weights = {
             f"i{n}": 2.0 if n % 10 == 0 else 0.5 for n in range(195)
         }
 
-    def test_callers_spread_by_capacity(self):
-        """The same few instances would carry the work of all callers."""
+    def test_names_are_chosen_in_proportion_to_weight(self):
+        """Guards against a few instances that get the load of all callers."""
         draws = collections.Counter()
         for caller in range(400):
             draws.update(
@@ -30,8 +30,11 @@
         for name, weight in self.weights.items():
             self.assertLess(draws[name], 1.5 * each * weight)
 
-    def test_a_caller_keeps_its_instances(self):
-        """A caller that gets other ones each time keeps no connection."""
+    def test_choice_changes_little_when_a_name_is_removed(self):
+        """Guards against callers that can't keep connections open.
+
+        They would have to reconnect if they got other instances each time.
+        """
         chosen = set(rendezvous.choose_by_weight("c", self.weights, 64))
         self.assertEqual(64, len(chosen))
         gone = min(chosen)
@@ -40,8 +43,8 @@
         self.assertEqual({gone}, chosen - again)
         self.assertEqual(1, len(again - chosen))
 
-    def test_all_of_a_few(self):
-        """A small fleet is named whole."""
+    def test_small_fleet_is_chosen_completely(self):
+        """All names are returned if there are fewer than requested."""
         self.assertEqual(
             ("a", "b"),
             rendezvous.choose_by_weight("c", {"a": 1.0, "b": 2.0}, 64),
--- a/tests/scheduler/direct/test_retries.py
+++ b/tests/scheduler/direct/test_retries.py
@@ -1,4 +1,4 @@
-"""Repeats of all instances together stay within their budget."""
+"""Tests that retries of all instances stay within the budget."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,17 +11,19 @@
 PROFILE = hypothesis.settings(derandomize=True, deadline=None)
 
 
-class RetryTest(testtools.TestCase):
-    """Load: endpoints fail every request while callers press."""
+class RetryBudgetTest(testtools.TestCase):
+    """Endpoints fail all requests under load."""
 
     @PROFILE
     @hypothesis.given(
         instances=strategies.integers(1, 16),
         rate=strategies.integers(0, 50),
-        told=strategies.integers(1, 16),
+        known_instances=strategies.integers(1, 16),
     )
-    def test_sum_over_instances(self, instances, rate, told):
-        """However many each instance knows of, the sum holds."""
+    def test_sum_over_instances_stays_within_the_budget(
+        self, instances, rate, known_instances
+    ):
+        """The sum holds for any fleet size known to the instances."""
         budgets = [retries.RetryBudget(RATIO, EXTRA) for _ in range(instances)]
         repeats = []
         firsts = []
@@ -32,15 +34,15 @@
                     budget.record_first(now)
                     firsts.append(now)
                 for _ in range(5):
-                    if budget.take(told, now):
+                    if budget.take(known_instances, now):
                         repeats.append(now)
         for end in (5.0, 10.0, 15.0, 19.9):
             window = [t for t in repeats if end - 10 < t <= end]
             sent = [t for t in firsts if end - 10 < t <= end]
             self.assertLessEqual(len(window), RATIO * len(sent) + EXTRA)
 
-    def test_a_calm_service_may_repeat(self):
-        """One failure among few requests is repeated."""
+    def test_single_failure_is_retried(self):
+        """One failure among few requests is retried."""
         budget = retries.RetryBudget(RATIO, EXTRA)
         budget.record_first(0.0)
         self.assertTrue(budget.take(7, 0.0))
--- a/tests/scheduler/direct/test_routing.py
+++ b/tests/scheduler/direct/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and path, services by weight."""
+"""Tests of routes by host and path, and services by weight."""
 
 import testtools
 
@@ -8,10 +8,10 @@
 
 
 class RoutingTest(testtools.TestCase):
-    """The longest prefix of a host wins."""
+    """The longest matching prefix of a host is chosen."""
 
     def setUp(self):
-        """Make routes that lie within each other."""
+        """Create routes with nested prefixes."""
         super().setUp()
         self.routes = routing.Routes(
             samples.make_route(name=name, host=host, prefix=prefix)
@@ -35,13 +35,13 @@
         self.assertEqual("other", self.find("y.example", "/a/b/"))
 
     def test_nothing_matches(self):
-        """Other hosts, and a prefix without its slash."""
+        """Unknown hosts and paths without a slash do not match."""
         self.assertIsNone(self.find("z.example", "/a/"))
         self.assertIsNone(self.find("x.example", "/a"))
         self.assertIsNone(self.find("x.example", "/"))
 
     def test_services_by_weight(self):
-        """A tenth of the draws fall to the smaller share."""
+        """A share of a tenth gets a tenth of the draws."""
         route = samples.make_route(
             shares=(
                 models.Share(service="big", weight=90),
--- a/tests/scheduler/direct/test_selection.py
+++ b/tests/scheduler/direct/test_selection.py
@@ -1,4 +1,4 @@
-"""Where a request goes, under the loads that the choice is made for."""
+"""Tests of the choice of endpoints under different loads."""
 
 import random
 
@@ -14,22 +14,22 @@
 
 NOW = 100.0
 
-COMMON_PACE = 3.2
-"""Time of a step of a common engine, milliseconds."""
+TYPICAL_STEP_MS = 3.2
+"""Step time of a typical engine."""
 
 
 class SelectionTest(testtools.TestCase):
-    """Two or three engines that differ in one thing."""
+    """Two or three engines that differ in one property."""
 
     def setUp(self):
-        """Make the parts of a selector."""
+        """Create a selector."""
         super().setUp()
-        self.board = load_tracker.LoadTracker()
+        self.loads = load_tracker.LoadTracker()
         self.health = health_module.Health()
         self.cold = cold_starts.ColdStarts()
         self.limits = endpoint_limits.EndpointLimits()
         self.selector = selection.Selector(
-            self.board, self.health, self.cold, self.limits
+            self.loads, self.health, self.cold, self.limits
         )
         self.service = samples.make_service()
         self.endpoints = [
@@ -47,56 +47,56 @@
             for e in self.endpoints
             if self.selector.has_capacity(e, self.service, share, NOW)
         ]
-        place = self.selector.choose(work, self.service, usable, NOW)
-        return place.endpoint.name if place else None
+        placement = self.selector.choose(work, self.service, usable, NOW)
+        return placement.endpoint.name if placement else None
 
-    def load(self, endpoint, count, **work):
-        """Put requests on an endpoint; they have begun to stream."""
+    def add_load(self, endpoint, count, **work):
+        """Add requests to an endpoint that have had a first event."""
         for _ in range(count):
             self.number += 1
-            run = self.board.record_send(
+            run = self.loads.record_send(
                 endpoint,
                 samples.make_work(f"r{self.number}", now=NOW, **work),
                 NOW,
             )
-            self.board.record_events(endpoint, run, 1, 6, NOW)
+            self.loads.record_events(endpoint, run, 1, 6, NOW)
 
-    def set_pace(self, endpoint, pace):
-        """Let another instance tell the pace of an endpoint.
+    def set_step_time(self, endpoint, factor):
+        """Apply a step time reported by another instance.
 
         Args:
-            endpoint: its name.
-            pace: as a multiple of a common engine's.
+            endpoint: name of the endpoint.
+            factor: step time as a multiple of a typical engine's.
         """
-        rows = [(endpoint, 0, 0, int(pace * COMMON_PACE * 1e6))]
-        self.board.apply_report(f"of {endpoint}", rows)
+        rows = [(endpoint, 0, 0, int(factor * TYPICAL_STEP_MS * 1e6))]
+        self.loads.apply_report(f"of {endpoint}", rows)
 
-    def test_one_slow_endpoint(self):
-        """Work goes where it begins soonest, by learnt pace."""
-        self.set_pace("a", 3.0)
-        self.set_pace("b", 0.5)
+    def test_slow_endpoint_is_avoided(self):
+        """The request goes to the engine with the shorter step time."""
+        self.set_step_time("a", 3.0)
+        self.set_step_time("b", 0.5)
         self.assertEqual("b", self.choose())
 
-    def test_skew_between_instances(self):
-        """What others have sent counts, though it is not seen here."""
-        self.board.apply_report("other", [("a", 4, 30_000, 0)])
+    def test_load_from_other_instances_counts(self):
+        """Reported requests of other instances are considered."""
+        self.loads.apply_report("other", [("a", 4, 30_000, 0)])
         self.assertEqual("b", self.choose())
 
-    def test_saturation(self):
-        """All places and the spare one are taken: the request waits."""
+    def test_full_endpoints_are_not_chosen(self):
+        """The request waits if all slots and the spare request are used."""
         for name in ("a", "b"):
-            self.load(name, 4 + selection.SPARE_REQUESTS)
+            self.add_load(name, 4 + selection.SPARE_REQUESTS)
         self.assertIsNone(self.choose())
 
-    def test_failing_endpoint_is_left_alone(self):
-        """It answers at once, with failures: it looks idle to all."""
+    def test_failing_endpoint_is_avoided(self):
+        """Guards against an endpoint that looks idle as it fails at once."""
         for _ in range(6):
             self.health.record_answer("a", False, NOW)
-        self.load("b", 3)
+        self.add_load("b", 3)
         self.assertEqual("b", self.choose())
 
-    def test_dark_endpoint_gets_one_probe_at_a_time(self):
-        """After a failed connection it is tried again, with one request."""
+    def test_unreachable_endpoint_gets_one_probe_at_a_time(self):
+        """After a failed connection it is probed with one request."""
         self.endpoints = self.endpoints[:1]
         self.health.record_unreachable("a", NOW - 1.0)
         self.assertEqual("a", self.choose())
@@ -106,7 +106,7 @@
         self.assertEqual("a", self.choose())
 
     def test_cold_endpoint_gets_its_share(self):
-        """The rest waits for a warm one, or for the next second."""
+        """Further requests wait for a warm endpoint or the next window."""
         self.endpoints = self.endpoints[:1]
         self.cold.set_cold("a", NOW + 3)
         sent = 0
@@ -116,81 +116,83 @@
         self.assertEqual(cold_starts.compute_window_limit(11.0, 1), sent)
 
     def test_plain_service(self):
-        """The one that answers sooner gets the request."""
+        """The endpoint with the shorter answer time gets the request."""
         self.service = samples.make_service(engine=None)
-        run = self.board.record_send("a", samples.make_work(now=NOW), NOW)
+        run = self.loads.record_send("a", samples.make_work(now=NOW), NOW)
         for _ in range(10):
-            self.board.record_answer("a", run, NOW + 0.5)
-        self.board.record_end("a", run.request_id)
+            self.loads.record_answer("a", run, NOW + 0.5)
+        self.loads.record_end("a", run.request_id)
         self.assertEqual("b", self.choose())
 
-    def test_places_that_come_free(self):
+    def test_rate_of_slots_that_become_free(self):
         """Two engines of four slots, one at half of the other's speed.
 
-        A request stays 300 steps: places come free every 300 ms and every
-        600 ms for each slot, whatever runs there now.
+        A request takes 300 steps, so that each slot becomes free every 300
+        or 600 ms, regardless of what is running now.
         """
-        self.set_pace("a", 1.0 / COMMON_PACE)
-        self.set_pace("b", 2.0 / COMMON_PACE)
-        places = self.selector.compute_slot_rate(self.service, self.endpoints)
-        self.assertAlmostEqual(4 / 0.3 + 4 / 0.6, places, delta=0.1)
+        self.set_step_time("a", 1.0 / TYPICAL_STEP_MS)
+        self.set_step_time("b", 2.0 / TYPICAL_STEP_MS)
+        slot_rate = self.selector.compute_slot_rate(
+            self.service, self.endpoints
+        )
+        self.assertAlmostEqual(4 / 0.3 + 4 / 0.6, slot_rate, delta=0.1)
 
 
-class HerdTest(testtools.TestCase):
-    """Load: sixty instances that hear of each other late."""
+class ThunderingHerdTest(testtools.TestCase):
+    """Sixty instances that learn of each other's sends late."""
 
-    def spread(self, count, drawn):
-        """Return the most requests on one of 45 endpoints.
+    def find_highest_load(self, instances, sample_size):
+        """Return the highest number of requests on one of 45 endpoints.
 
-        All instances see idle endpoints and send one request each before
-        they hear of each other.
+        Each instance sees only idle endpoints and sends one request before
+        it learns of the others' sends.
         """
         draw = random.Random(5)
         loads = [0] * 45
-        paces = [1 + 0.01 * n for n in range(45)]
-        for _ in range(count):
-            seen = draw.sample(range(45), drawn)
-            loads[min(seen, key=lambda n: paces[n])] += 1
+        step_times = [1 + 0.01 * n for n in range(45)]
+        for _ in range(instances):
+            sample = draw.sample(range(45), sample_size)
+            loads[min(sample, key=lambda n: step_times[n])] += 1
         return max(loads)
 
-    def test_a_drawn_few_spread_what_all_would_send_to_one(self):
-        """By chance the fastest gets a fifth of the sends and not all."""
+    def test_sampling_spreads_requests(self):
+        """With sampling, the fastest endpoint gets about a fifth of them."""
         drawn = selection.compute_sample_size(45, 60)
-        self.assertEqual(60, self.spread(60, 45))
-        self.assertLessEqual(self.spread(60, drawn), 20)
+        self.assertEqual(60, self.find_highest_load(60, 45))
+        self.assertLessEqual(self.find_highest_load(60, drawn), 20)
 
-    def test_a_small_fleet_sees_all(self):
-        """Its reports are fresh enough for the best choice."""
+    def test_small_fleet_considers_all_endpoints(self):
+        """Its reports are fresh enough to choose among all endpoints."""
         self.assertEqual(9, selection.compute_sample_size(9, 11))
         self.assertEqual(1, selection.compute_sample_size(1, 90))
 
 
-class BoardTest(testtools.TestCase):
-    """Learning paces and counting loads."""
+class LoadTrackerTest(testtools.TestCase):
+    """Learning of step times and counting of loads."""
 
-    def test_pace_is_learnt_past_the_reading_of_prompts(self):
-        """Some spans hold a long prompt's reading; the pace stays true."""
-        board = load_tracker.LoadTracker()
-        run = board.record_send("a", samples.make_work(), 0.0)
+    def test_step_time_excludes_the_prefill_of_prompts(self):
+        """Spans that include the prefill of a long prompt are ignored."""
+        loads = load_tracker.LoadTracker()
+        run = loads.record_send("a", samples.make_work(), 0.0)
         now = 0.0
-        board.record_events("a", run, 1, 6, now)
+        loads.record_events("a", run, 1, 6, now)
         for event in range(40):
             now += 0.2 if event % 9 == 0 else 6 * 0.0032 * 2
-            board.record_events("a", run, 1, 6, now)
-        self.assertAlmostEqual(6.4, board.get_step_ms("a"), delta=0.6)
-
-    def test_half_of_the_instances_are_gone(self):
-        """What they told does not count any more."""
-        board = load_tracker.LoadTracker()
-        board.apply_report("x", [("a", 3, 100, 0)])
-        board.apply_report("y", [("a", 2, 50, 0)])
-        self.assertEqual(load_tracker.Load(5, 150), board.get_load("a"))
-        board.drop_stale({"y"})
-        self.assertEqual(load_tracker.Load(2, 50), board.get_load("a"))
-
-    def test_one_wrong_pace_is_outvoted(self):
-        """The middle of what all instances measured counts."""
-        board = load_tracker.LoadTracker()
-        for name, pace in (("x", 1.0), ("y", 17.0), ("z", 1.1)):
-            board.apply_report(name, [("a", 0, 0, int(pace * 1e6))])
-        self.assertAlmostEqual(1.1, board.get_step_ms("a"))
+            loads.record_events("a", run, 1, 6, now)
+        self.assertAlmostEqual(6.4, loads.get_step_ms("a"), delta=0.6)
+
+    def test_reports_of_lost_instances_are_dropped(self):
+        """The loads that they reported no longer count."""
+        loads = load_tracker.LoadTracker()
+        loads.apply_report("x", [("a", 3, 100, 0)])
+        loads.apply_report("y", [("a", 2, 50, 0)])
+        self.assertEqual(load_tracker.Load(5, 150), loads.get_load("a"))
+        loads.drop_stale({"y"})
+        self.assertEqual(load_tracker.Load(2, 50), loads.get_load("a"))
+
+    def test_median_step_time_ignores_an_outlier(self):
+        """The median of the step times of all instances is used."""
+        loads = load_tracker.LoadTracker()
+        for name, step_ms in (("x", 1.0), ("y", 17.0), ("z", 1.1)):
+            loads.apply_report(name, [("a", 0, 0, int(step_ms * 1e6))])
+        self.assertAlmostEqual(1.1, loads.get_step_ms("a"))
--- a/tests/scheduler/direct/test_suspects.py
+++ b/tests/scheduler/direct/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that end endpoints are told from those that were only there."""
+"""Tests of barring requests that crash endpoints."""
 
 import testtools
 
@@ -10,20 +10,20 @@
 
 
 def make_endpoint(number):
-    """Return an endpoint, one for each number."""
+    """Return an endpoint that is unique for a number."""
     return samples.make_endpoint(f"e{number}")
 
 
 class SuspectsTest(testtools.TestCase):
-    """One instance, and what others tell it."""
+    """One instance, and updates from other instances."""
 
     def setUp(self):
-        """Make an instance that knows nothing."""
+        """Create an instance without suspects."""
         super().setUp()
         self.suspects = suspects.SuspectRequests()
 
-    def end(self, *numbers, own=None, now=0.0):
-        """Let endpoints end under the request; return whether it is new."""
+    def record_crashes(self, *numbers, own=None, now=0.0):
+        """Record crashes; return whether the last one bars the request."""
         own = own or self.suspects
         found = [
             own.record_crash(FINGERPRINT, make_endpoint(n), now)
@@ -35,55 +35,58 @@
         """Return whether the request is barred."""
         return self.suspects.is_barred(FINGERPRINT, now)
 
-    def test_third_end_bars_it_and_is_told_once(self):
-        """Guards against a request that ends one endpoint after another."""
-        self.assertFalse(self.end(1, 2))
+    def test_third_crash_bars_a_request(self):
+        """Guards against a request that crashes one endpoint after another.
+
+        Only the crash that bars the request is reported as such.
+        """
+        self.assertFalse(self.record_crashes(1, 2))
         self.assertFalse(self.is_barred())
-        self.assertTrue(self.end(3))
+        self.assertTrue(self.record_crashes(3))
         self.assertTrue(self.is_barred())
-        self.assertFalse(self.end(4))
+        self.assertFalse(self.record_crashes(4))
         self.assertEqual(1, self.suspects.count_barred())
         self.assertFalse(self.suspects.is_barred("other", 0.0))
 
-    def test_endpoint_that_breaks_off_often_counts_once(self):
-        """Guards against a bar for one endpoint's resets."""
-        self.end(1, 1, 1, 1)
+    def test_repeated_crashes_of_one_endpoint_count_once(self):
+        """Guards against barring a request for resets of one endpoint."""
+        self.record_crashes(1, 1, 1, 1)
         self.assertFalse(self.is_barred())
 
-    def test_whole_answer_excuses_all_ends_before_it(self):
-        """Guards against a bar for a request that was only there."""
-        self.end(1, 2)
+    def test_complete_answer_clears_earlier_crashes(self):
+        """Guards against barring a request that was involved by chance."""
+        self.record_crashes(1, 2)
         self.suspects.record_completion(FINGERPRINT, 1.0)
-        self.end(3, 4, now=2.0)
+        self.record_crashes(3, 4, now=2.0)
         self.assertFalse(self.is_barred(2.0))
-        self.end(5, now=3.0)
+        self.record_crashes(5, now=3.0)
         self.assertTrue(self.is_barred(3.0))
 
-    def test_ends_at_several_instances_add_up(self):
-        """Guards against three ends for each instance."""
+    def test_crashes_seen_by_several_instances_add_up(self):
+        """Guards against three crashes on each instance."""
         others = [suspects.SuspectRequests() for _ in range(3)]
         for number, other in enumerate(others):
-            self.end(number, own=other)
+            self.record_crashes(number, own=other)
             self.suspects.apply_updates(other.list_updates(0.1), 0.1)
         self.assertTrue(self.is_barred(0.1))
         for other in others:
             other.apply_updates(self.suspects.list_updates(0.2), 0.2)
             self.assertTrue(other.is_barred(FINGERPRINT, 0.2))
 
-    def test_whole_answer_elsewhere_excuses_here(self):
-        """Guards against a bar that outlives a whole answer elsewhere."""
+    def test_complete_answer_on_another_instance_clears_crashes(self):
+        """Guards against barring in spite of an answer on another instance."""
         other = suspects.SuspectRequests()
-        self.end(1, 2, 3)
+        self.record_crashes(1, 2, 3)
         other.apply_updates(self.suspects.list_updates(0.1), 0.1)
         other.record_completion(FINGERPRINT, 0.5)
         self.suspects.apply_updates(other.list_updates(0.6), 0.6)
         self.assertFalse(self.is_barred(0.6))
-        # What was told before the answer arrives late, or once more.
+        # An update from before the answer arrives late or repeatedly.
         self.suspects.apply_updates([(FINGERPRINT, 600, -1, [(9, 600)])], 0.7)
         self.assertFalse(self.is_barred(0.7))
 
-    def test_instance_that_starts_later_hears_of_it(self):
-        """Guards against a restart that lets barred requests through."""
+    def test_new_instance_receives_barred_requests(self):
+        """Guards against a restarted instance that admits barred requests."""
         for number in range(5):
             for end in range(3):
                 endpoint = make_endpoint(end)
@@ -94,10 +97,11 @@
             newcomer.apply_updates(self.suspects.list_updates(now), now)
         self.assertEqual(5, newcomer.count_barred())
 
-    def test_ends_among_many_victims_add_up(self):
-        """Guards against the cause of a crash hidden among its victims.
+    def test_crashes_among_many_innocent_requests_add_up(self):
+        """Guards against missing the cause of a crash among its victims.
 
-        Each instance sees one end of it and those of forty others.
+        Each of three instances sees one crash, which involves the request
+        and forty others.
         """
         others = [suspects.SuspectRequests() for _ in range(3)]
         for number, other in enumerate(others):
@@ -105,17 +109,17 @@
                 other.record_crash(
                     f"{number}-{victim}", make_endpoint(number), 0
                 )
-            self.end(number, own=other)
+            self.record_crashes(number, own=other)
         for report in range(8):
             now = 0.1 * report
             for other in others:
                 self.suspects.apply_updates(other.list_updates(now), now)
         self.assertTrue(self.is_barred(0.8))
 
-    def test_forgotten_everywhere_once_nobody_asks(self):
-        """Guards against instances that remind each other for ever."""
+    def test_requests_that_do_not_recur_are_forgotten(self):
+        """Guards against instances that keep each other's entries alive."""
         other = suspects.SuspectRequests()
-        self.end(1, 2, 3)
+        self.record_crashes(1, 2, 3)
         now = 0.0
         while now < 2 * suspects.KEEP_SECONDS:
             now += 60.0
@@ -128,17 +132,17 @@
         self.assertFalse(self.is_barred(now))
         self.assertEqual(0, other.count_barred())
 
-    def test_kept_while_it_is_repeated(self):
-        """Guards against one more try every ten minutes."""
-        self.end(1, 2, 3)
+    def test_barred_request_is_kept_while_it_recurs(self):
+        """Guards against admitting a barred request every ten minutes."""
+        self.record_crashes(1, 2, 3)
         for step in range(1, 20):
             now = step * 100.0
             self.suspects.remove_expired(now)
             self.assertTrue(self.is_barred(now))
 
     def test_crash_of_many_endpoints_drops_no_barred_request(self):
-        """Guards against a bar that is lost among thousands of victims."""
-        self.end(1, 2, 3)
+        """Guards against evicting a barred request after a mass crash."""
+        self.record_crashes(1, 2, 3)
         for number in range(2 * suspects.MAX_SUSPECTS):
             self.suspects.record_crash(
                 f"v{number}", make_endpoint(number), 1.0 + number
--- a/tests/scheduler/direct/test_wait_queue.py
+++ b/tests/scheduler/direct/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Who waits, who goes first, and for how long."""
+"""Tests of the order and the waiting times of queued requests."""
 
 import dataclasses
 
@@ -9,23 +9,23 @@
 
 
 def make_waiter(name, now=0.0, **route):
-    """Return a waiter whose request arrived at a time."""
+    """Return a waiter whose request arrived at a given time."""
     work = samples.make_work(name, samples.make_route(**route), now)
     return wait_queue.Waiter(work=work, waiting_since=now)
 
 
-class QueueTest(testtools.TestCase):
-    """Load: more work than the endpoints take for some seconds."""
+class WaitQueueTest(testtools.TestCase):
+    """More requests than the endpoints can take for some seconds."""
 
     def order(self, waiters, now):
-        """Return the names of waiters in their order."""
+        """Return the names of waiters, most urgent first."""
         queue = wait_queue.WaitQueue()
         for waiter in waiters:
             queue.add(waiter)
         return [w.work.request_id for w in queue.list_by_urgency(now)]
 
     def test_higher_tier_first(self):
-        """Whatever else holds, a higher tier goes before a lower."""
+        """A higher tier goes first even if its request is late."""
         waiters = [
             make_waiter("low", 0.0, tier=1),
             make_waiter("high, late", -5.0, tier=0),
@@ -33,15 +33,15 @@
         self.assertEqual(["high, late", "low"], self.order(waiters, 0.1))
 
     def test_in_time_before_late(self):
-        """One that is late loses little by a longer wait."""
+        """A late request loses little by waiting longer."""
         waiters = [make_waiter("late", -2.0), make_waiter("fresh", 0.0)]
         self.assertEqual(["fresh", "late"], self.order(waiters, 0.1))
 
     def test_urgent_route_before_lateness(self):
-        """Load: a burst, all of one workspace's tier.
+        """A late request of an urgent route goes before a timely one.
 
-        A long draft that is late already goes before a tag that could be
-        in time: the work of its caller would be lost for a label.
+        Both have the tier of one workspace: a long draft is worth more to
+        its caller than a tag, even if it is late.
         """
         draft = make_waiter("draft", -2.0, tier=0)
         tag = make_waiter("tag", 0.0, tier=2)
@@ -49,29 +49,29 @@
             waiter.work = dataclasses.replace(waiter.work, tier=1)
         self.assertEqual(["draft", "tag"], self.order([tag, draft], 0.1))
 
-    def test_match_takes_out_who_got_a_place(self):
-        """Places go in order; the others go on waiting."""
+    def test_match_removes_requests_that_got_a_slot(self):
+        """Slots are assigned in order; other requests continue to wait."""
         queue = wait_queue.WaitQueue()
         for name in ("one", "two", "three"):
             queue.add(make_waiter(name))
-        places = iter(["place", None, None])
-        matched = queue.match(lambda waiter: next(places), 0.1)
+        slots = iter(["place", None, None])
+        matched = queue.match(lambda waiter: next(slots), 0.1)
         self.assertEqual(
             [("one", "place")],
-            [(w.work.request_id, place) for w, place in matched],
+            [(w.work.request_id, slot) for w, slot in matched],
         )
         self.assertEqual(2, len(queue))
 
     def fill(self, queue, count, now=0.0, **route):
-        """Let some requests wait."""
+        """Add requests to a queue."""
         for number in range(count):
             queue.add(make_waiter(f"{route}-{number}", now, **route))
 
-    def test_forecast_of_a_burst(self):
-        """Load: a burst puts twenty requests before a new one.
+    def test_estimated_wait_in_a_burst(self):
+        """A burst puts twenty requests ahead of a new one.
 
-        Places come free at forty a second, so that the wait is half a
-        second: it waits, since it can still be in time.
+        With forty free slots per second it waits for half a second and can
+        still be in time.
         """
         queue = wait_queue.WaitQueue()
         self.fill(queue, 20)
@@ -79,12 +79,12 @@
         queue.add(waiter)
         self.assertAlmostEqual(0.5, queue.estimate_wait(waiter, 40.0, 0.0))
 
-    def test_forecast_of_a_flood(self):
-        """Load: a hundred requests of a more urgent route wait.
+    def test_estimated_wait_in_an_overload(self):
+        """A hundred requests of a more urgent route are waiting.
 
-        At forty places a second a request of the next route would wait two
-        and a half seconds, whatever comes meanwhile; one of the first
-        route that has just come stands behind its like only.
+        With forty free slots per second, a new request of the next route
+        waits at least two and a half seconds. Less urgent requests in the
+        queue do not delay it.
         """
         queue = wait_queue.WaitQueue()
         self.fill(queue, 100, tier=0)
@@ -93,23 +93,23 @@
         queue.add(waiter)
         self.assertAlmostEqual(2.5, queue.estimate_wait(waiter, 40.0, 0.0))
 
-    def test_no_place_comes_free(self):
-        """All endpoints are out of reach: a wait has no end."""
+    def test_wait_is_infinite_without_free_slots(self):
+        """All endpoints are unreachable."""
         queue = wait_queue.WaitQueue()
         self.fill(queue, 1)
         waiter = make_waiter("new")
         queue.add(waiter)
         self.assertEqual(float("inf"), queue.estimate_wait(waiter, 0.0, 0.0))
 
-    def test_nothing_ahead(self):
-        """The first in the queue gets the next place."""
+    def test_first_in_the_queue_does_not_wait(self):
+        """The first request in the queue gets the next slot."""
         queue = wait_queue.WaitQueue()
         waiter = make_waiter("new")
         queue.add(waiter)
         self.assertEqual(0.0, queue.estimate_wait(waiter, 0.0, 0.0))
 
-    def test_patience(self):
-        """Two objectives, but never most of the time that is left."""
+    def test_max_wait(self):
+        """Two objectives, but at most half of the time to the deadline."""
         work = samples.make_work()
         self.assertEqual(1.6, wait_queue.compute_max_wait(work, 0.0))
         short = samples.make_work(deadline=1.0)
