--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -1,4 +1,4 @@
-"""A request to be carried, and what all requests of an instance share."""
+"""A request to be forwarded and the components that all requests share."""
 
 import collections.abc
 import dataclasses
@@ -19,19 +19,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Job:
-    """A request of a caller, checked and read whole.
+    """A validated request of a caller.
 
     Attributes:
-        work: what the decisions need.
-        service: where it goes.
+        work: properties that scheduling depends on.
+        service: service that the request is sent to.
         method: HTTP method.
-        target: path and query, as they came.
-        headers: headers by their names in lower case.
-        body: the body.
-        fingerprint: the same for all requests that ask for the same.
-        workspace: whose it is; None where no keys are used.
-        units: what it was charged with.
-        version: of the configuration that it was checked against.
+        target: path and query, unchanged.
+        headers: headers by lower-case name.
+        body: the complete body.
+        fingerprint: hash that is equal for requests with equal content.
+        workspace: workspace of the caller; None if no API keys are in use.
+        units: units charged to the workspace's limit.
+        version: version of the configuration used for validation.
     """
 
     work: models.Work
@@ -47,27 +47,27 @@
 
 
 class RelayContext:
-    """What all requests of an instance share.
+    """Components shared by all requests of an instance.
 
     Args:
-        cluster_state: what is in force.
-        dispatcher: finds places.
-        board: loads and paces.
-        health: which endpoints answer.
-        limits: what endpoints in need have said they take.
-        suspects: requests under which endpoints ended.
+        cluster_state: current configuration and endpoints.
+        dispatcher: reserves endpoint capacity.
+        loads: loads and step times of endpoints.
+        health: health of endpoints.
+        limits: rate limits announced by endpoints.
+        suspects: requests that coincided with terminated endpoints.
         ticker: the clock.
-        log: where decisions are told.
-        counts: get what happened.
-        get_retry_budget: returns the budget of repeats of a service.
-        count_instances: returns how many instances there may be.
+        log: the event log.
+        counts: counters for the metrics.
+        get_retry_budget: returns the retry budget of a service.
+        count_instances: returns the number of known instances.
     """
 
     def __init__(
         self,
         cluster_state: cluster_state_module.ClusterState,
         dispatcher: dispatcher_module.Dispatcher,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
         limits: endpoint_limits.EndpointLimits,
         suspects: suspects_module.SuspectRequests,
@@ -79,7 +79,7 @@
     ) -> None:
         self.cluster_state = cluster_state
         self.dispatcher = dispatcher
-        self.board = board
+        self.loads = loads
         self.health = health
         self.limits = limits
         self.suspects = suspects
