--- a/citronport/scheduler/direct/buckets.py
+++ b/citronport/scheduler/direct/buckets.py
@@ -57,8 +57,8 @@
             now: clock time, seconds.
         """
         gained = max(0.0, now - self.refilled_at) * rate
-        deepest = -max(burst, MAX_DEBT_REPORTS * lag * rate)
-        self.level = max(deepest, min(burst, self.level + gained))
+        min_level = -max(burst, MAX_DEBT_REPORTS * lag * rate)
+        self.level = max(min_level, min(burst, self.level + gained))
         self.reserved = max(0.0, self.reserved - gained)
         self.refilled_at = now
 
@@ -86,8 +86,8 @@
             return True
         if self.level >= USAGE_MARGIN * self._compute_usage_rate(now) * lag:
             return True
-        left = self.level + self.unreported
-        return self.unreported <= SKEW_FACTOR * left / instances
+        remaining = self.level + self.unreported
+        return self.unreported <= SKEW_FACTOR * remaining / instances
 
     def record_usage(self, units: float, now: float) -> None:
         """Add units admitted on any instance to the recent usage."""
--- a/citronport/scheduler/direct/load_tracker.py
+++ b/citronport/scheduler/direct/load_tracker.py
@@ -163,9 +163,9 @@
 
     def record_answer_seconds(self, endpoint: str, seconds: float) -> None:
         """Add a sample of the time of a plain answer, seconds."""
-        known = self._answer_seconds.get(endpoint, seconds)
-        self._answer_seconds[endpoint] = known + ANSWER_WEIGHT * (
-            seconds - known
+        mean = self._answer_seconds.get(endpoint, seconds)
+        self._answer_seconds[endpoint] = mean + ANSWER_WEIGHT * (
+            seconds - mean
         )
 
     def record_end(
@@ -350,13 +350,13 @@
             report.step_ms.pop(endpoint, None)
 
     def _get_own_load(self, endpoint: str) -> Load:
-        here = self._own.get(endpoint)
-        if not here:
+        own = self._own.get(endpoint)
+        if not own:
             return Load(0, 0)
         prefill_backlog = sum(
-            r.prompt_tokens for r in here.values() if r.first_event_at is None
+            r.prompt_tokens for r in own.values() if r.first_event_at is None
         )
-        return Load(len(here), prefill_backlog)
+        return Load(len(own), prefill_backlog)
 
     def _add_remote(
         self, loads: dict[str, tuple[int, int]], sign: int
@@ -380,14 +380,12 @@
 
     def _update_step_ms(self, endpoint: str, step_ms: float) -> None:
         step_ms = min(MAX_STEP_MS, max(MIN_STEP_MS, step_ms))
-        known = self._step_ms.get(endpoint)
+        mean = self._step_ms.get(endpoint)
         self._median_step_ms.pop(endpoint, None)
-        if known is None:
+        if mean is None:
             self._step_ms[endpoint] = step_ms
         else:
-            self._step_ms[endpoint] = known + STEP_MS_WEIGHT * (
-                step_ms - known
-            )
+            self._step_ms[endpoint] = mean + STEP_MS_WEIGHT * (step_ms - mean)
 
 
 def _find_median(values: list[float]) -> float:
@@ -398,9 +396,9 @@
 def _remove(
     requests: dict[str, dict[str, runs.Run]], endpoint: str, request_id: str
 ) -> None:
-    known = requests.get(endpoint)
-    if known is None:
+    endpoint_requests = requests.get(endpoint)
+    if endpoint_requests is None:
         return
-    known.pop(request_id, None)
-    if not known:
+    endpoint_requests.pop(request_id, None)
+    if not endpoint_requests:
         del requests[endpoint]
--- a/citronport/scheduler/direct/ownership.py
+++ b/citronport/scheduler/direct/ownership.py
@@ -74,9 +74,13 @@
     """
     if not candidates:
         return None
-    most = max(c.capacity for c in candidates)
-    able = [c for c in candidates if c.capacity >= MIN_CAPACITY_SHARE * most]
+    max_capacity = max(c.capacity for c in candidates)
+    eligible = [
+        c
+        for c in candidates
+        if c.capacity >= MIN_CAPACITY_SHARE * max_capacity
+    ]
     key = f"{pool.service} {pool.number}"
     return max(
-        able, key=lambda c: rendezvous.compute_hash(f"{key} {c.instance}")
+        eligible, key=lambda c: rendezvous.compute_hash(f"{key} {c.instance}")
     ).instance
--- a/citronport/scheduler/direct/profiles.py
+++ b/citronport/scheduler/direct/profiles.py
@@ -105,10 +105,10 @@
             steps: steps from the send to the event.
         """
         expected = self.get(service)
-        most = OUTLIER_FACTOR * (
+        max_steps = OUTLIER_FACTOR * (
             expected.base_steps + expected.steps_per_token * tokens
         )
-        self._get_samples(service).line.add(tokens, min(steps, most))
+        self._get_samples(service).line.add(tokens, min(steps, max_steps))
 
     def record_end(self, service: str, steps: float) -> None:
         """Add a sample of the steps for which a request occupied a slot."""
@@ -126,10 +126,10 @@
 
     def get(self, service: str) -> Profile:
         """Return the profile of a service."""
-        known = self._cache.get(service)
-        if known is None:
-            known = self._cache[service] = self._compute(service)
-        return known
+        profile = self._cache.get(service)
+        if profile is None:
+            profile = self._cache[service] = self._compute(service)
+        return profile
 
     def make_report_rows(self) -> list[tuple[str, float, float, float]]:
         """Return the profiles learnt by this instance, as report rows."""
--- a/citronport/scheduler/direct/quota.py
+++ b/citronport/scheduler/direct/quota.py
@@ -205,16 +205,18 @@
         share of its proportional part.
         """
         if reach > MAJORITY:
-            used = max(
+            tolerance_share = max(
                 MIN_TOLERANCE_SHARE,
                 TOLERANCE_SHARE - TOLERANCE_SHARE_PER_LAG_SECOND * lag,
             )
-            others = (1.0 - reach) * MINORITY_SHARE
-            over = max(1.0, 1.0 + self._over * used - others)
-            slack = self._slack * used
+            minority_share = (1.0 - reach) * MINORITY_SHARE
+            factor = max(
+                1.0, 1.0 + self._over * tolerance_share - minority_share
+            )
+            slack = self._slack * tolerance_share
         else:
-            over, slack = reach * MINORITY_SHARE, 0.0
-        return workspace.rate * over, workspace.burst * over + slack
+            factor, slack = reach * MINORITY_SHARE, 0.0
+        return workspace.rate * factor, workspace.burst * factor + slack
 
 
 def compute_startup_share(
--- a/citronport/scheduler/direct/routing.py
+++ b/citronport/scheduler/direct/routing.py
@@ -20,14 +20,14 @@
 
     def find(self, host: str, path: str) -> models.Route | None:
         """Return the route with the longest matching path prefix."""
-        known = self._by_host.get(host.partition(":")[0].lower())
-        if known is None:
+        by_prefix = self._by_host.get(host.partition(":")[0].lower())
+        if by_prefix is None:
             return None
         # Prefixes end with a slash, so that only the parts of the path up to
         # each slash are looked up, regardless of the number of routes.
         end = path.rfind("/")
         while end >= 0:
-            route = known.get(path[: end + 1])
+            route = by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
--- a/citronport/scheduler/direct/usage.py
+++ b/citronport/scheduler/direct/usage.py
@@ -22,9 +22,9 @@
         After a restart of the reporter, its totals count from 0. A total
         decreases if the admission of a request was undone.
         """
-        known = self.totals if self.incarnation == incarnation else {}
+        previous = self.totals if self.incarnation == incarnation else {}
         increase = {
-            name: total - known.get(name, 0.0)
+            name: total - previous.get(name, 0.0)
             for name, total in totals.items()
         }
         self.incarnation = incarnation
--- a/citronport/scheduler/direct/wait_queue.py
+++ b/citronport/scheduler/direct/wait_queue.py
@@ -157,6 +157,6 @@
         self, waiter: Waiter, now: float
     ) -> tuple[int, int, bool, float]:
         work = waiter.work
-        begun = now + self._expect_first_event(work)
-        late = begun > work.arrived + work.route.objective
+        expected_start = now + self._expect_first_event(work)
+        late = expected_start > work.arrived + work.route.objective
         return (work.tier, work.route.tier, late, work.arrived)
