--- a/citronport/scheduler/direct/endpoint_limits.py
+++ b/citronport/scheduler/direct/endpoint_limits.py
@@ -85,11 +85,11 @@
         rate = self.get_rate(endpoint)
         if rate is None:
             return True
-        sender_rate = _compute_sender_rate(endpoint, rate, role)
+        own_rate = _compute_own_rate(endpoint, rate, role)
         limit = self._limits[endpoint]
         elapsed = max(0.0, now - limit.refilled_at)
-        capacity = max(1.0, BUCKET_SECONDS * sender_rate)
-        limit.tokens = min(capacity, limit.tokens + sender_rate * elapsed)
+        capacity = max(1.0, BUCKET_SECONDS * own_rate)
+        limit.tokens = min(capacity, limit.tokens + own_rate * elapsed)
         limit.refilled_at = now
         return limit.tokens >= 1
 
@@ -168,9 +168,7 @@
         return True
 
 
-def _compute_sender_rate(
-    endpoint: str, rate: float, role: roles.Role
-) -> float:
+def _compute_own_rate(endpoint: str, rate: float, role: roles.Role) -> float:
     """Return how many requests per second an instance may send."""
     match role:
         case roles.Owner():
--- a/citronport/scheduler/direct/suspects.py
+++ b/citronport/scheduler/direct/suspects.py
@@ -56,7 +56,9 @@
     def clear_crashes(self, at: float) -> bool:
         """Drop the crashes before a complete answer; return if any were."""
         crashes = {
-            start: end for start, end in self.crashes.items() if end > at
+            start: crashed_at
+            for start, crashed_at in self.crashes.items()
+            if crashed_at > at
         }
         self.completed_at = max(self.completed_at, at)
         changed = len(crashes) < len(self.crashes)
--- a/tests/scheduler/direct/test_endpoint_limits.py
+++ b/tests/scheduler/direct/test_endpoint_limits.py
@@ -27,9 +27,11 @@
 class FleetSimulation:
     """Instances that send at their full rate, each in its own role."""
 
-    def __init__(self, rate, roles):
-        self.roles = list(roles)
-        self.limits = [endpoint_limits.EndpointLimits() for _ in roles]
+    def __init__(self, rate, instance_roles):
+        self.roles = list(instance_roles)
+        self.limits = [
+            endpoint_limits.EndpointLimits() for _ in instance_roles
+        ]
         self.sends = []
         for own in self.limits:
             own.record_limit("e", rate, 0.0)
@@ -65,21 +67,21 @@
         self, rate, instances
     ):
         """Guards against each instance using the whole limit on its own."""
-        sending = FleetSimulation(rate, make_sender_roles(instances))
-        sending.run(10.0)
+        fleet = FleetSimulation(rate, make_sender_roles(instances))
+        fleet.run(10.0)
         allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
-        self.assertLessEqual(count_busiest(sending.sends), allowed)
-        self.assertGreaterEqual(len(sending.sends), int(10.0 * rate / 3))
+        self.assertLessEqual(count_busiest(fleet.sends), allowed)
+        self.assertGreaterEqual(len(fleet.sends), int(10.0 * rate / 3))
 
     @PROFILE
     @hypothesis.given(rate=strategies.floats(0.0, 40.0))
     def test_owner_uses_the_limit(self, rate):
         """Guards against sending less than a limited endpoint accepts."""
-        sending = FleetSimulation(rate, [roles.Owner()])
-        sending.run(10.0)
+        fleet = FleetSimulation(rate, [roles.Owner()])
+        fleet.run(10.0)
         allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
-        self.assertLessEqual(count_busiest(sending.sends), allowed)
-        self.assertGreaterEqual(len(sending.sends), int(9.5 * rate) - 1)
+        self.assertLessEqual(count_busiest(fleet.sends), allowed)
+        self.assertGreaterEqual(len(fleet.sends), int(9.5 * rate) - 1)
 
     @PROFILE
     @hypothesis.given(
@@ -90,12 +92,12 @@
 
         The former owner continues for half a second until it is informed.
         """
-        sending = FleetSimulation(rate, [roles.Owner(), roles.Owner()])
-        sending.run(at, active={0})
-        sending.run(at + 0.5, start=at)
-        sending.run(12.0, start=at + 0.5, active={1})
+        fleet = FleetSimulation(rate, [roles.Owner(), roles.Owner()])
+        fleet.run(at, active={0})
+        fleet.run(at + 0.5, start=at)
+        fleet.run(12.0, start=at + 0.5, active={1})
         allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
-        self.assertLessEqual(count_busiest(sending.sends), allowed)
+        self.assertLessEqual(count_busiest(fleet.sends), allowed)
 
     @PROFILE
     @hypothesis.given(
@@ -108,17 +110,17 @@
         dispatcher.
         """
         senders = make_sender_roles(7)
-        sending = FleetSimulation(rate, senders)
+        fleet = FleetSimulation(rate, senders)
         for turn in range(int(10.0 / gap)):
             owner = turn % len(senders)
             start = turn * gap
             settled = start + min(gap, cold_starts.WINDOW_SECONDS)
-            sending.roles[owner] = senders[owner]
-            sending.run(settled, start=start, active={owner})
-            sending.roles[owner] = roles.Owner()
-            sending.run(start + gap, start=settled, active={owner})
+            fleet.roles[owner] = senders[owner]
+            fleet.run(settled, start=start, active={owner})
+            fleet.roles[owner] = roles.Owner()
+            fleet.run(start + gap, start=settled, active={owner})
         allowed = MAX_RATIO * rate * WINDOW_SECONDS + EXTRA_REQUESTS
-        self.assertLessEqual(count_busiest(sending.sends), allowed)
+        self.assertLessEqual(count_busiest(fleet.sends), allowed)
 
     def test_limit_and_its_removal_are_announced(self):
         """Guards against an instance that keeps using an old answer."""
@@ -162,11 +164,7 @@
         self.assertEqual([], one.list_updates(0.1))
 
     def test_gone_endpoint_is_not_told_for_ever(self):
-        """Guards against instances that keep a gone endpoint alive.
-
-        One instance repeats the limit to another that has already removed
-        the endpoint, and gets it back after removing it itself.
-        """
+        """Guards against instances that remind each other of one gone."""
         one, two = [endpoint_limits.EndpointLimits() for _ in range(2)]
         one.record_limit("e", 2.0, 0.0)
         two.apply_updates(one.list_updates(0.1), 0.1)
