--- a/tests/callers/test_lookup.py
+++ b/tests/callers/test_lookup.py
@@ -97,9 +97,9 @@
         self.assertEqual(6, len(self.directory.list_others()))
 
     def test_owners_of_a_model_come_first(self):
-        """Within its window a caller starts at an entry that owns the model.
+        """Within its window a caller starts at an owner of the model.
 
-        Any other entry would have to relay the response.
+        Any entry without a matching endpoint would have to relay the response.
         """
         chosen = next(iter(self.count_first("small-1")))
         name = f"entry-{chosen.split(':')[0].split('.')[-1]}"
--- a/tests/instances/test_membership.py
+++ b/tests/instances/test_membership.py
@@ -58,7 +58,7 @@
         self.detector = membership.FailureDetector()
         self.detector.set_neighbours({"near"}, 0.0)
 
-    def test_silent_neighbour_is_out_of_reach_until_heard(self):
+    def test_silent_neighbour_is_unreachable_until_contact(self):
         """The silence of a neighbour counts from its last message."""
         self.detector.record_contact("near", 1.0)
         late = 1.1 + const.SILENCE_TIMEOUT_SECONDS
