--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Applicant:
-    """A request that applies for a lease; serves as its waiter's handle.
+    """A lease request of another instance; the handle of its waiter.
 
     Attributes:
         ask: the lease request.
--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -194,8 +194,8 @@
     return script
 
 
-def stream(*events, whole=True, pause=0.0):
-    """Return a script that streams events; it breaks off unless whole."""
+def stream(*events, complete=True, pause=0.0):
+    """Return a script that streams events; it breaks off unless complete."""
 
     def script(sock, headers):
         sock.sendall(
@@ -209,7 +209,7 @@
         for event in events:
             sock.sendall(chunk(event))
             gevent.sleep(pause)
-        if whole:
+        if complete:
             sock.sendall(b"0\r\n\r\n")
 
     return script
--- a/tests/relay/test_crashing_request.py
+++ b/tests/relay/test_crashing_request.py
@@ -52,7 +52,7 @@
         self.crashes += 1
         self.case.store.delete(f"servers/{self.name}")
         self.register()
-        fakes.stream(whole=False)(sock, headers)
+        fakes.stream(complete=False)(sock, headers)
 
 
 class CrashingRequestTest(instances.InstanceCase):
--- a/tests/relay/test_endpoint_limit.py
+++ b/tests/relay/test_endpoint_limit.py
@@ -113,10 +113,10 @@
         taken = [at for at in self.limiting.arrivals if at > lifted + 1.0]
         self.assertGreater(len(taken), 2 * RATE * 2.0)
 
-    def test_one_instance_keeps_it(self):
+    def test_one_instance_keeps_the_limit(self):
         """Guards against a limited endpoint that gets as much as others."""
         self.check_limit(1)
 
-    def test_instances_keep_it_together(self):
+    def test_instances_keep_the_limit_together(self):
         """Guards against a limit that each instance uses up on its own."""
         self.check_limit(4)
--- a/tests/relay/test_instance.py
+++ b/tests/relay/test_instance.py
@@ -47,7 +47,7 @@
         ]
         self.assertEqual(["id-1"], [line["request"] for line in ended])
 
-    def test_store_is_away_at_a_start(self):
+    def test_start_while_the_store_is_unavailable(self):
         """Guards against a start that depends on the store.
 
         An instance that can't reach the store gets the configuration and
@@ -64,7 +64,7 @@
             lambda: self.ask(second, "id-2", path="/new/x")[0] == 200,
         )
 
-    def test_nothing_known_yet(self):
+    def test_start_without_store_and_peers(self):
         """Without store and peers, a request gets 503 with a retry time.
 
         Never 404: the routes are not known.
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -120,7 +120,7 @@
         found = node.acquire()
         self.assertFalse(found.leased)
 
-    def test_place_counts_at_the_owner_until_it_is_given_back(self):
+    def test_lease_counts_at_the_owner_until_it_is_released(self):
         """The owner counts leases of others until they are released."""
         first = self.one.acquire("r1")
         second = self.two.acquire("r2")
@@ -132,7 +132,7 @@
         self.settle()
         self.assertEqual(1, self.owner.count())
 
-    def test_freed_place_goes_to_the_most_urgent_of_all(self):
+    def test_released_capacity_goes_to_the_most_urgent_request(self):
         """Guards against separate queues that ignore each other's urgency.
 
         Requests of two tiers wait at two instances, the lower tier for
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -111,7 +111,7 @@
         late = {a: d for a, d in delays.items() if d > APPLY_SECONDS}
         self.assertEqual({}, late)
 
-    def test_watch_that_is_out_as_the_store_falls_silent(self):
+    def test_watch_that_is_pending_when_the_store_falls_silent(self):
         """Guards against a late change after an outage shorter than a watch.
 
         The watch begins at various times before the outage. Its loss is not
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -239,7 +239,7 @@
         """A stream that breaks off must not look complete."""
         events = [fakes.make_event(1), fakes.make_event(2)[:5]]
         endpoint = fakes.Endpoint(
-            self, fakes.stream(*events, whole=False, pause=0.02)
+            self, fakes.stream(*events, complete=False, pause=0.02)
         )
         self.prepare(endpoint, repeat=models.RepeatPolicy.STREAM)
         self.assertRaises(replies.StreamCutError, self.ask)
@@ -256,7 +256,7 @@
         one, two, three = (fakes.make_event(n) for n in (1, 2, 3))
         first = fakes.Endpoint(
             self,
-            fakes.stream(one, two + three[:4], whole=False, pause=0.02),
+            fakes.stream(one, two + three[:4], complete=False, pause=0.02),
         )
         second = fakes.Endpoint(self, fakes.stream(three))
         self.prepare(
@@ -305,7 +305,7 @@
         """
         one = fakes.make_event(1)
         first = fakes.Endpoint(
-            self, fakes.stream(one, whole=False, pause=0.02)
+            self, fakes.stream(one, complete=False, pause=0.02)
         )
         second = fakes.Endpoint(self, fakes.answer(500, b"broken"))
         self.prepare(
@@ -371,7 +371,7 @@
         self.assertEqual(200, self.ask(fingerprint="f2"))
         self.assertEqual(1, len(endpoint.requests))
 
-    def test_request_barred_by_its_own_end_is_not_sent_again(self):
+    def test_request_barred_by_its_own_crash_is_not_sent_again(self):
         """Guards against a retry by the attempt that crashed the third."""
         ending = fakes.Endpoint(self, fakes.close_unanswered)
         other = fakes.Endpoint(self, fakes.answer())
@@ -388,15 +388,15 @@
         cluster_state = self.room.cluster_state
         may_use = cluster_state.may_use
 
-        def hear(endpoint):
+        def crash_then_check(endpoint):
             self.crash_others(suspects.BAR_THRESHOLD)
             return may_use(endpoint)
 
-        cluster_state.may_use = hear
+        cluster_state.may_use = crash_then_check
         self.assertEqual(503, self.ask())
         self.assertEqual(0, len(endpoint.requests))
 
-    def test_failure_of_a_live_endpoint_is_no_end(self):
+    def test_failure_of_a_live_endpoint_is_no_crash(self):
         """Guards against a bar for failures that an endpoint reports."""
         bad = fakes.Endpoint(self, fakes.answer(500))
         self.prepare(bad)
