--- a/citronport/callers/idempotency.py
+++ b/citronport/callers/idempotency.py
@@ -147,7 +147,7 @@
         # was told that it may repeat it.
         if run.was_not_run:
             return
-        run.forget_body()
+        run.release_body()
         record.ended = now
         self._ended[key] = record
         self._kept_answers.append(record)
@@ -206,7 +206,7 @@
             if not self._is_over_budget(running_bytes) or record.run is None:
                 return
             running_bytes -= _count_bytes(record)
-            record.run.forget_answer()
+            record.run.release_answer()
 
     def _is_over_budget(self, running_bytes: int) -> bool:
         return self._ended_bytes + running_bytes > self._answer_bytes
