--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -133,7 +133,7 @@
                 # name the old ones. An endpoint that is gone looks idle
                 # and would draw each request that finds the others full,
                 # so it counts as unreachable at once.
-                self._record_unreachable("another endpoint answered")
+                self._record_unreachable("another endpoint answers there")
                 if not self._may_send_again():
                     return self._refuse_overloaded()
             case upstream.NotRun(answer=answer):
