--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -55,7 +55,7 @@
         loads: loads and step times of endpoints.
         health: health of endpoints.
         limits: rate limits announced by endpoints.
-        suspects: requests that coincided with terminated endpoints.
+        suspects: requests that are suspected of crashing endpoints.
         ticker: the clock.
         log: the event log.
         counts: counters for the metrics.
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -107,7 +107,7 @@
         self.assertEqual("e1", found.endpoint.name)
 
     def test_no_endpoint_has_its_own_code(self):
-        """Without a listed endpoint, the refusal names this cause."""
+        """Without a listed endpoint, the refusal after the wait says so."""
         room = samples.DispatcherFixture([])
         route = samples.make_route(objective=0.01)
         work = samples.make_work("r", route, room.ticker.now())
