--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -1,4 +1,4 @@
-"""The task that keeps the copy of the store in step with it."""
+"""Task that keeps the local copy of the platform's store up to date."""
 
 import collections.abc
 import random
@@ -16,54 +16,54 @@
 from citronport.scheduler.direct import rendezvous
 
 WATCH_SECONDS = 2.0
-"""How long the store holds a watch. A connection that has gone silent shows
-by an answer that stays out, so that a change is known three seconds after
-it at the latest; each call is counted against the store's rate."""
+"""How long the store may hold a watch. A dead connection is detected by a
+missing answer, so this bounds the delay of a change to three seconds. It is
+not shorter because each call counts against the store's rate limit."""
 
 READER_COUNT = 8
-"""Instances of a large fleet that watch the store; the others hear of its
-changes from them. If all of them watched, each change would end hundreds
-of watches, which all count against the store's rate."""
+"""Number of instances of a large fleet (readers) that watch the store; the
+others fetch changes from them. If all watched it, each change would end
+hundreds of watches, and all of these count against the store's rate limit."""
 
 MIN_READERS = 3
-"""Readers whose store answers, without which an instance asks the store
-itself: fewer may all be cut off before it is seen."""
+"""Number of readers with recent answers below which an instance reads the
+store itself: fewer ones might all lose the store before this is detected."""
 
 READER_FRESH_SECONDS = 3.0
-"""Age of the store's newest answer up to which a reader counts as one: a
-watch and its answer take 2.8 s."""
+"""Maximum age of a reader's latest answer from the store for the reader to
+count: a watch and its answer take up to 2.8 s."""
 
 STANDBY_POLL_SECONDS = 0.2
-"""Pause between two looks of an instance that need not ask the store."""
+"""Interval at which an instance on standby checks whether it still may be."""
 
 BATCH_SECONDS = 0.25
-"""Pause after news before the next watch: changes come in groups, as when
-all endpoints enter themselves, and each group then costs one call and not
-one for each change. Bounds on news are two seconds and more."""
+"""Pause after a change before the next watch. Changes come in groups, for
+example when all endpoints register, and a group then costs one call instead
+of one for each change. Changes have to be known within two seconds or more."""
 
 START_PHASE_SECONDS = 5.0
-"""Age up to which an instance counts as one that has just started."""
+"""Time after its start during which an instance counts as starting."""
 
 START_BATCH_SECONDS = 0.8
-"""The same pause for one that has just started. Until it knows who reads
-the store for it, every instance of a large fleet watches by itself, and
-would ask again with each of many changes."""
+"""The same pause for a starting instance. Until the instances of a large fleet
+know the readers, all of them watch the store, and each would call it again
+after each of many changes."""
 
 ANSWER_TIMEOUT_SECONDS = 0.8
-"""How long the store may be silent beyond a watch's wait, and within an
-answer; a slow store takes a quarter of a second."""
+"""How long the store may send nothing, beyond the time of a watch and within
+an answer. A slow store takes a quarter of a second."""
 
 RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 0.8
-"""Pauses between questions to a store that fails. The longest one bounds
-how late its return is seen."""
+"""Initial and maximum pause between calls to a failing store. The maximum
+bounds how late its recovery is detected."""
 
 STANDBY_MAX_RETRY_SECONDS = 1.6
-"""The longest one of an instance that leaves the store to others. It only
-has to see a store that comes back for it and for none of the readers."""
+"""Maximum pause of an instance that is not a reader. It matters only if the
+store recovers for this instance and for none of the readers."""
 
 OUTAGE_SECONDS = 0.7
-"""A store that did not answer for longer counts as having been away."""
+"""Time without an answer, beyond that of a watch, that counts as an outage."""
 
 
 def choose_readers(instances: tuple[str, ...]) -> tuple[str, ...]:
@@ -76,17 +76,17 @@
 def compute_standby_age(
     own: str, instances: tuple[str, ...], ages: list[float]
 ) -> float | None:
-    """Return whether an instance can leave the store to others.
+    """Return how recent the readers' copies are, for an instance on standby.
 
     Args:
-        own: its name.
-        instances: all that are known, with itself.
-        ages: of the store's newest answers to those in reach, seconds; -1
-            of one that leaves the store to others.
+        own: name of the instance.
+        instances: names of all known instances, including itself.
+        ages: age of the store's latest answer to each instance in reach,
+            seconds; -1 for an instance on standby.
 
     Returns:
-        The age of the newest answer to others, seconds; None if the
-        instance has to ask by itself.
+        The age of the store's latest answer to any reader, seconds; None if
+        the instance has to read the store itself.
     """
     reader_ages = [age for age in ages if 0 <= age <= READER_FRESH_SECONDS]
     if len(reader_ages) < MIN_READERS or own in choose_readers(instances):
@@ -98,14 +98,24 @@
     """Reads the store once, then watches it.
 
     Args:
-        store: the client; this task owns it.
-        mirror: the copy.
+        store: the client, used by this task only.
+        mirror: the local copy of the store.
         ticker: the clock.
-        deliver: called with what changed.
-        log: where losses of the store are told.
-        find_age: returns the age of the store's newest answer to others
-            that read it for this instance; None if it has to ask itself.
-        is_reader: returns whether others leave the store to this instance.
+        deliver: called with the items that changed.
+        log: receives events on losses of the store.
+        compute_standby_age: returns the age of the store's latest answer to
+            the readers, seconds; None if this instance has to read the
+            store itself.
+        is_reader: returns whether this instance is one of the readers.
+
+    Attributes:
+        on_standby: whether this instance leaves the store to the readers.
+        answered_at: clock time of the store's latest answer to this
+            instance or, on standby, to a reader.
+        recovered_at: clock time at which the latest outage ended; minus
+            infinity before the first one.
+        calls: calls to the store since the start.
+        failures: calls without a usable answer.
     """
 
     def __init__(
@@ -138,7 +148,7 @@
         self.failures = 0
 
     def follow(self) -> None:
-        """Follow the store for ever."""
+        """Follow the store until the task is killed."""
         while True:
             if self.check_standby():
                 self._ticker.sleep(STANDBY_POLL_SECONDS)
@@ -146,8 +156,9 @@
                 self.back_off()
 
     def back_off(self) -> None:
-        """Wait before the next question to a store that fails."""
-        # Spread by chance: all instances lose the store at once.
+        """Wait before the next call to a failing store."""
+        # The jitter spreads the calls of instances that lose the store at
+        # the same time.
         self._ticker.sleep(random.uniform(0.5, 1.0) * self._retry_seconds)
         longest = (
             MAX_RETRY_SECONDS
@@ -157,7 +168,7 @@
         self._retry_seconds = min(2 * self._retry_seconds, longest)
 
     def check_standby(self) -> bool:
-        """Return whether nothing is to be asked of the store now."""
+        """Update and return whether this instance is on standby."""
         age = None if self._needs_full_read else self._compute_standby_age()
         self.on_standby = age is not None
         if age is not None:
@@ -166,7 +177,7 @@
         return self.on_standby
 
     def poll(self) -> bool:
-        """Ask the store once; return whether it answered."""
+        """Call the store once; return whether it answered."""
         if self._needs_full_read:
             return self._read_all()
         asked = self._start_call()
@@ -221,11 +232,12 @@
 
     def _choose_watch_seconds(self) -> float:
         """Return how long the store may hold the next watch, seconds."""
-        # A question that is out when a silent store comes back stays
-        # without an answer, and hides the return until it is given up.
-        # All instances ask in step, so that no neighbour knows more, and
-        # callers got 404 for routes that the store had confirmed. One that
-        # waits for nothing is given up after ANSWER_SECONDS.
+        # A watch that is pending when a silent store recovers is never
+        # answered and hides the recovery until it times out. All instances
+        # watch in step, so no other instance would know more, and callers
+        # got status 404 for routes that the store had confirmed. A watch
+        # that the store must answer at once times out after
+        # ANSWER_TIMEOUT_SECONDS.
         return 0.0 if self._failing_since is not None else WATCH_SECONDS
 
     def _start_call(self) -> float:
--- a/citronport/relay/gossip.py
+++ b/citronport/relay/gossip.py
@@ -1,4 +1,4 @@
-"""The tasks that talk with the other instances."""
+"""Exchange of reports and summaries with the other instances over UDP."""
 
 import collections.abc
 import contextlib
@@ -29,20 +29,21 @@
 fit into the time after which it counts as out of reach."""
 
 FIRST_SEED_SECONDS = 0.1
-"""First pause between two reports to seeds of an instance that has heard of
-nobody yet; each is twice as long as the one before. After a loss of power
-the seeds themselves may still be starting."""
+"""First pause between two reports to seeds while no other instance is known;
+each later one is twice as long. After a power failure the seeds themselves
+may still be starting."""
 
 SEED_SECONDS = 1.0
 """Pause between two reports to seeds while new instances show up."""
 
 SETTLED_SEED_SECONDS = 10.0
-"""The same later: only two parts of a fleet that have forgotten each other
-in a long cut need it."""
+"""The same in a settled fleet: needed only by two parts of a fleet that have
+forgotten each other during a long partition."""
 
 ANNOUNCERS = 2
-"""Readers that tell an instance of news at once. Each reader of 60 instances
-then tells 15; what both fail to tell comes with anybody's next report."""
+"""Number of readers that announce changes to an instance on standby at once.
+In a fleet of 60, each reader then sends 15 reports. If both fail, the next
+report of any instance shows that there are changes."""
 
 GROUP_SIZE = 12
 """Reports sent without a pause: 24 KB take 20 ms on the slowest link."""
@@ -51,17 +52,17 @@
 
 
 class Gossip:
-    """Reports to other instances and takes their reports.
+    """Sends and receives the datagrams between instances.
 
     Args:
         settings: where this instance listens.
-        members: what is known of the others.
+        members: the other instances.
         ticker: the clock.
-        describe: returns this instance's report.
-        take_report: called with each fresh report.
-        take_leasing: called with each message on leases.
-        summaries: of data centres.
-        log: where changes are told.
+        make_report: returns this instance's report.
+        handle_report: called with each new report.
+        handle_lease_message: called with each message on leases.
+        summaries: makes and applies summaries of data centres.
+        log: receives events on instances that come into or out of reach.
     """
 
     def __init__(
@@ -95,12 +96,12 @@
         self._settings = settings
 
     def open(self) -> None:
-        """Listen for reports."""
+        """Open the socket for datagrams of other instances."""
         host = str(self._settings.peers.address)
         self._socket.bind((host, self._settings.reports))
 
     def report_forever(self) -> None:
-        """Tell the others of this instance for ever."""
+        """Send reports to other instances until the task is killed."""
         while True:
             report = self._make_report()
             busy = any(row[1] for row in report.loads)
@@ -112,13 +113,13 @@
             self._log_reach_changes()
 
     def summarize_forever(self) -> None:
-        """Tell other data centres of this one for ever."""
+        """Send summaries to other data centres until the task is killed."""
         while True:
             self.send_summaries()
             self._ticker.sleep(membership_module.SUMMARY_SECONDS)
 
     def send_summaries(self) -> None:
-        """Tell the data centres that this instance is an envoy to."""
+        """Send a summary to each data centre this instance is an envoy to."""
         now = self._ticker.now()
         targets = self._members.choose_summary_targets(now)
         if not targets:
@@ -132,14 +133,14 @@
     ) -> None:
         """Send a report to other instances, and to seeds now and then.
 
-        Load: sixty reports of 2 KB at once on a link of 10 Mbit/s. Harm:
-        what does not fit into its queue is lost, each time the same ones;
-        some instances heard of a quarter of the others, took themselves
-        for cut off, and refused callers far below their limits. A few are
-        sent at a time, in an order drawn anew.
+        Reports are sent in small groups and in random order. Sixty reports
+        of 2 KB at once overflow the queue of a link of 10 Mbit/s, which
+        drops the same ones each time. Some instances then heard of a quarter
+        of the others only, took themselves for partitioned, and refused
+        callers far below their limits.
 
         Args:
-            report: what to tell.
+            report: the report to send.
             spread_seconds: time over which the sends are spread.
         """
         now = self._ticker.now()
@@ -193,14 +194,14 @@
             self._send_datagram(messages.CODEC.encode(message), address)
 
     def receive(self) -> None:
-        """Take reports for ever."""
+        """Receive datagrams until the task is killed."""
         while True:
             data, sender = self._socket.recvfrom(READ_BYTES)
             try:
                 message = messages.unpack(messages.CODEC.unpack(data))
             except ValueError as error:
                 logging.warning(
-                    "%s a datagram of %s is no message: %s.",
+                    "%s dropped an invalid datagram from %s: %s.",
                     LOG,
                     sender[0],
                     error,
@@ -220,9 +221,12 @@
             case messages.Summary():
                 self._handle_summary(message)
             case messages.Want() | messages.Held() | messages.Packed():
-                # These go over streams; here they are somebody's mistake.
+                # These messages are only valid on streams.
                 logging.warning(
-                    "%s %s came as a datagram.", LOG, type(message).__name__
+                    "%s dropped a datagram of kind %s, which is sent on "
+                    "streams only.",
+                    LOG,
+                    type(message).__name__,
                 )
             case _:
                 self._handle_lease_message(message)
@@ -237,8 +241,8 @@
             self._send_datagram(data, address)
 
     def _answer_meet(self, meet: messages.Meet) -> None:
-        # The summaries tell it of this data centre; it lacks neighbours
-        # that would pass them on to it.
+        # The sender gets summaries of this data centre anyway. It has to
+        # discover instances of its own one, which forward summaries.
         if self._members.is_remote(meet.data_centre):
             report = self._make_report(meet.data_centre)
             self._send_datagram(
@@ -248,10 +252,11 @@
     def _report_to_new_instances(self) -> None:
         """Report at once to instances that have just shown up.
 
-        Load: all instances are killed and start again, and their callers
-        come back in that moment. Harm: until they know each other, a third
-        of a second and more with reports at rest, each hands out places by
-        itself, and all send to the endpoints that look idle.
+        When all instances restart, their callers come back at once. With
+        reports of idle instances only, the instances would take a third of
+        a second or more to discover each other. Until then each grants
+        places on its own, and all of them choose the endpoints that look
+        idle.
         """
         new_addresses = self._members.take_new_addresses()
         if not new_addresses:
@@ -271,10 +276,11 @@
             self._socket.sendto(data, (host, self._settings.reports))
 
     def announce_changes(self) -> None:
-        """Tell instances that leave the store to others of its news.
+        """Report at once to instances on standby that the store has changed.
 
-        Load: an endpoint that starts to leave, in a fleet of sixty whose
-        reports come every 0.75 s. Harm: most would send there for as long.
+        In a fleet of sixty, reports are sent every 0.75 s. Without the
+        announcement most instances would keep sending requests for as long
+        to an endpoint that has started to leave.
         """
         now = self._ticker.now()
         instances = self._members.list_known(now)
@@ -307,7 +313,7 @@
 
 
 def split_targets(targets: collections.abc.Iterable[str]) -> list[list[str]]:
-    """Return addresses in groups, in an order that is drawn by chance."""
+    """Return addresses in groups, in random order."""
     shuffled = list(targets)
     random.shuffle(shuffled)
     return [
--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -1,4 +1,4 @@
-"""Which instances there are, from what they tell of themselves."""
+"""Membership of the fleet, derived from the reports of its instances."""
 
 import collections.abc
 import dataclasses
@@ -8,62 +8,65 @@
 from citronport.scheduler.direct import rendezvous
 
 FRESH_SECONDS = 1.0
-"""Age up to which a report counts for shared limits and loads: several
-reports may be lost on the way before an instance looks out of reach."""
+"""Maximum age of a report that counts for shared limits and loads. Several
+consecutive reports may be lost before an instance counts as out of reach."""
 
 USABLE_SECONDS = 2.0
-"""Age up to which callers are sent to an instance. A dead one is found by
-its callers at their next connection; one that is only slow to report must
-not lose all its callers at once."""
+"""Maximum age of the report of an instance that callers are sent to. Callers
+notice a dead instance when they next connect, but an instance whose reports
+are merely late must not lose all its callers at once."""
 
 KNOWN_SECONDS = 30.0
-"""How long a silent instance counts as one that may still serve callers.
+"""How long a silent instance is assumed to still serve callers.
 
-An instance that is cut off from the others goes on serving its part of each
-limit; cuts of half a minute are the longest that the limits have to hold
-for.
+An instance that is partitioned from the others keeps serving its share of
+each limit. Limits have to hold during partitions of up to half a minute.
 """
 
 FORGET_SECONDS = 300.0
-"""How long reports still go to a silent instance, so that two parts of the
-fleet find each other again after a cut."""
+"""How long reports are still sent to a silent instance, so that the parts of
+a fleet find each other again after a partition."""
 
 REPORTS_PER_SECOND = 80.0
-"""Reports that an instance takes a second, at most. In a large data centre
-each reports less often, so that reading them costs 2% of a core at any
-size."""
+"""Maximum rate of reports that an instance receives. In a large data centre
+each instance reports less often, so that reading reports costs 2% of a core
+at any size."""
 
 LARGE_FLEET = 13
-"""Instances from which on what each tells all others, and asks the store, is
-kept small: below, it costs less than a hundredth of a core and of a link."""
+"""Number of instances from which traffic between instances and calls to the
+store are reduced. In a smaller fleet, full reports to all instances cost less
+than a hundredth of a core and of a link."""
 
 SUMMARY_SECONDS = 0.3
-"""Pause between two summaries of a data centre for one of the others."""
+"""Interval between two summaries of a data centre for another one."""
 
 ENVOY_COUNT = 2
-"""Instances that tell one data centre of another one. While one of them is
-dead and not yet seen to be, the other one's summaries go on."""
+"""Number of instances (envoys) that send summaries of their data centre to
+another one. While one is dead and not yet detected as such, the summaries of
+the other one continue."""
 
 REPORTED_MEMBERS = 8
-"""Members named in one report; other ones each time."""
+"""Number of members named in one report, chosen at random each time."""
 
 SETTLED_REPORTED_MEMBERS = 2
-"""The same once no new instance has been heard of for a while: names would
-be half of the bytes of a report."""
+"""Number of members named in one report of a settled fleet, where eight names
+would be half of the bytes of a report."""
 
 GROWING_SECONDS = 0.15
-"""Time without a new instance after which one that has just started knows
-most of those that run: a seed and its neighbours answer in a few
-milliseconds, and the next report of a neighbour names others."""
+"""Time without a new instance after which an instance that has just started
+knows most of the running ones. A seed and the instances near it answer
+within a few milliseconds, and each later report names further instances."""
 
 SETTLED_SECONDS = 10.0
 """Time without a new instance after which a fleet counts as settled."""
 
 MISSED_REPORTS = 3.0
-"""Reports that must stay out before an instance counts as out of reach."""
+"""Consecutive reports that may be missed before an instance counts as out of
+reach."""
 
 MISSED_SUMMARIES = 3.0
-"""The same for the summaries by which other data centres hear of it."""
+"""Consecutive summaries that may be missed before an instance of another data
+centre counts as out of reach."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,11 +74,12 @@
     """Another instance and its latest report.
 
     Attributes:
-        report: what it told last; None if only others told of it.
-        heard: clock time of its latest report, seconds.
-        told: clock time at which it was first told of, seconds.
-        peers: its address for other instances.
-        data_centre: where it stands.
+        report: its latest report; None if it is known from other
+            instances only.
+        reported_at: clock time of its latest report, seconds.
+        added_at: clock time at which it was first known, seconds.
+        peer_address: its address for other instances.
+        data_centre: its data centre.
     """
 
     report: messages.Report | None
@@ -88,14 +92,14 @@
 class Membership:
     """The other instances, as one instance sees them.
 
-    In a large fleet an instance reports to those of its own data centre
-    only; envoys tell the other data centres of all of them at once. So
-    what an instance reads and sends grows with its data centre, and not
-    with the fleet.
+    In a large fleet an instance reports only to the instances of its own
+    data centre. A few of them, the envoys, send summaries of the whole data
+    centre to the other ones. The traffic of an instance thus grows with its
+    data centre and not with the fleet.
 
     Args:
         own: name of this instance.
-        data_centre: where it stands.
+        data_centre: data centre of this instance.
     """
 
     def __init__(self, own: str, data_centre: str) -> None:
@@ -107,37 +111,37 @@
         self._new_addresses: list[str] = []
 
     def get_report_interval(self) -> float:
-        """Return the shortest pause between two reports, seconds."""
+        """Return the minimum interval between two reports, seconds."""
         receivers = (
             self._local_count if self.is_large() else len(self._members)
         )
         return receivers / REPORTS_PER_SECOND
 
     def get_propagation_seconds(self) -> float:
-        """Return the time until others hear of this instance, seconds."""
+        """Return the time until all instances get a change, seconds."""
         interval = self.get_report_interval()
         return interval + SUMMARY_SECONDS if self.is_large() else interval
 
     def is_large(self) -> bool:
-        """Return whether data centres hear of each other by summaries."""
-        # Instances that have long been gone count, too: a fleet that a
-        # cut has halved must not change its ways within it.
+        """Return whether data centres exchange summaries."""
+        # Silent instances count as well: a fleet that a partition has
+        # halved must not switch its mode of exchange meanwhile.
         return len(self._members) + 1 >= LARGE_FLEET
 
     def is_remote(self, data_centre: str) -> bool:
-        """Return whether a data centre is told of by its envoys only."""
+        """Return whether a data centre is known by summaries only."""
         return data_centre != self._data_centre and self.is_large()
 
     def is_alone(self) -> bool:
-        """Return whether nobody else has been heard of yet."""
+        """Return whether no other instance is known yet."""
         return not self._members
 
     def is_growing(self, now: float) -> bool:
-        """Return whether this instance still gets to know the others."""
+        """Return whether this instance is still discovering others."""
         return self.is_alone() or now - self._last_added_at < GROWING_SECONDS
 
     def is_settled(self, now: float) -> bool:
-        """Return whether no new instance has been heard of for a while.
+        """Return whether no instance has been discovered for a while.
 
         Args:
             now: clock time, seconds.
@@ -147,11 +151,11 @@
         return now - self._last_added_at > SETTLED_SECONDS
 
     def apply_report(self, report: messages.Report, now: float) -> bool:
-        """Take a report; return False if it is old or one's own.
+        """Store a report; return False if it is outdated or one's own.
 
         Args:
-            report: of another instance.
-            now: clock time at which it was written, seconds.
+            report: report of another instance.
+            now: clock time at which it was made, seconds.
         """
         if report.instance == self._own:
             return False
@@ -174,10 +178,10 @@
         members: collections.abc.Iterable[tuple[str, str, str, str]],
         now: float,
     ) -> None:
-        """Take the names and addresses that another instance tells.
+        """Add the members that another instance names.
 
         Args:
-            members: rows as ``list_members`` makes them.
+            members: rows as returned by ``list_members``.
             now: clock time, seconds.
         """
         for name, _, peer_address, data_centre in members:
@@ -191,7 +195,7 @@
                 member.peer_address = peer_address
 
     def drop_forgotten(self, now: float) -> None:
-        """Forget the instances that nobody has heard of for long."""
+        """Remove the instances that have been silent for too long."""
         gone = [
             n for n, m in self._members.items() if not _is_remembered(m, now)
         ]
@@ -202,8 +206,8 @@
     def take_new_addresses(self) -> list[str]:
         """Return the addresses of instances that may not know this one yet.
 
-        Each start of another instance that reports to this one is named
-        once, whether it did so by itself or was told of by others.
+        Each start of another instance is returned once, whether it was
+        discovered by its own report or named by another instance.
         """
         addresses, self._new_addresses = self._new_addresses, []
         return addresses
@@ -224,7 +228,7 @@
         ]
 
     def list_usable(self, now: float) -> list[messages.Report]:
-        """Return the reports of those that callers may be sent to."""
+        """Return the reports of the instances that callers may use."""
         usable_seconds = max(USABLE_SECONDS, self._get_remote_fresh_seconds())
         return [
             m.report
@@ -236,13 +240,13 @@
         ]
 
     def list_known(self, now: float) -> tuple[str, ...]:
-        """Return the names of all that may serve callers, and this one."""
+        """Return the names of this and all others that may serve callers."""
         names = {self._own}
         for name, member in self._members.items():
             report = member.report
             if report is None or now - member.reported_at > KNOWN_SECONDS:
                 continue
-            # One that said it would leave has gone if it is silent.
+            # An instance that announced its shutdown is gone once silent.
             if (
                 report.leaving
                 and now - member.reported_at > self._get_remote_fresh_seconds()
@@ -268,7 +272,7 @@
         return member.peer_address if member else None
 
     def list_addresses(self, now: float) -> list[str]:
-        """Return the addresses to which reports go."""
+        """Return the addresses that reports are sent to."""
         return [
             m.peer_address
             for m in self._members.values()
@@ -278,11 +282,14 @@
     def list_members(
         self, now: float, data_centre: str = ""
     ) -> list[tuple[str, str, str, str]]:
-        """Return what to tell others of the instances in reach.
+        """Return a random selection of the instances in reach.
+
+        Each row holds name, incarnation, address for other instances and
+        data centre.
 
         Args:
             now: clock time, seconds.
-            data_centre: whose members are wanted; all by default.
+            data_centre: only return members of it; all by default.
         """
         fresh = [
             r
@@ -298,7 +305,7 @@
         ]
 
     def list_local(self, now: float) -> list[tuple[messages.Report, float]]:
-        """Return the fresh reports of this data centre and their ages."""
+        """Return the fresh reports of this data centre with their ages."""
         return [
             (m.report, now - m.reported_at)
             for m in self._members.values()
@@ -308,10 +315,11 @@
         ]
 
     def choose_summary_targets(self, now: float) -> list[str]:
-        """Return whom this instance tells of its data centre now.
+        """Return the addresses that this instance sends summaries to now.
 
-        One of each data centre that it is an envoy to, another one each
-        time: a receiver that is dead or cut off then costs one summary.
+        One random instance of each data centre to which this instance is an
+        envoy. It differs from time to time, so that a receiver that is dead
+        or partitioned costs one summary only.
         """
         if not self.is_large():
             return []
@@ -367,9 +375,9 @@
         if last is None:
             return True
         if last.incarnation == report.incarnation:
-            # Datagrams may overtake each other.
+            # Datagrams may arrive out of order.
             return report.number > last.number
-        # An envoy may still tell of the start before the latest one.
+        # A summary may still hold a report of an earlier incarnation.
         return now >= member.reported_at
 
 
--- a/citronport/relay/mirror.py
+++ b/citronport/relay/mirror.py
@@ -1,19 +1,19 @@
-"""A copy of what the platform's store holds, kept in step."""
+"""Local copy of the items in the platform's store."""
 
 import collections.abc
 
 from citronport.platform import models
 
 MAX_TOMBSTONES = 1000
-"""Deleted keys whose revision is remembered, so that an older copy of one
-that comes from a neighbour does not bring it back."""
+"""Number of deleted keys whose revision is remembered, so that an outdated
+item from another instance does not bring a deleted one back."""
 
 
 class Mirror:
-    """Items of the store, each at its newest known revision.
+    """Items of the store, each at its latest known revision.
 
     Attributes:
-        revision: all changes of the store up to this one are known.
+        revision: all changes of the store up to this revision are known.
     """
 
     def __init__(self) -> None:
@@ -24,11 +24,11 @@
     def apply(
         self, items: collections.abc.Iterable[models.Item], revision: int
     ) -> list[models.Item]:
-        """Take changes; return those that were news.
+        """Apply changes; return those that were not known yet.
 
         Args:
             items: changes later than the known revision, in any order.
-            revision: all changes up to this one are known now.
+            revision: revision up to which all changes are known now.
         """
         changed = [item for item in items if self._apply_item(item)]
         self.revision = max(self.revision, revision)
@@ -37,14 +37,14 @@
     def replace(
         self, items: collections.abc.Sequence[models.Item], revision: int
     ) -> list[models.Item]:
-        """Take a whole copy; return what changed.
+        """Replace all items by a full read of the store; return the changes.
 
         Args:
-            items: all items of the store, none older than the revision.
-            revision: the store's when the copy was begun.
+            items: all items of the store, read at the revision or later.
+            revision: revision of the store when the read began.
         """
         if revision < self.revision:
-            # A copy that was asked for before a later one arrived.
+            # This read began before one that has already been applied.
             return []
         listed = {item.key for item in items}
         missing = [
@@ -70,14 +70,14 @@
         *,
         complete: bool = True,
     ) -> list[models.Item]:
-        """Take what a neighbour knows; return what changed.
+        """Merge the items of another instance; return the changes.
 
         Args:
-            items: the neighbour's items later than this copy's revision.
-            keys: all keys that the neighbour has.
-            revision: up to which the neighbour knows all changes.
-            complete: whether no item was left out; else this copy still does
-                not know all changes up to that revision.
+            items: its items later than the revision of this copy.
+            keys: keys of all its items.
+            revision: revision up to which it knows all changes.
+            complete: whether no item was left out. Otherwise the revision
+                of this copy does not advance.
         """
         if revision <= self.revision:
             return []
--- a/citronport/relay/replication.py
+++ b/citronport/relay/replication.py
@@ -1,4 +1,7 @@
-"""Changes of the store that instances fetch from one another."""
+"""Replication of changes of the store between instances.
+
+In log events and metrics these changes are called news.
+"""
 
 import collections.abc
 import random
@@ -22,49 +25,50 @@
 LOG = "news:"
 
 LAG_SECONDS = 0.3
-"""How long another instance may be ahead with the store's changes before
-they are fetched from it: a watch brings them within a few milliseconds. One
-that leaves the store to others fetches at once."""
+"""How long another instance may be ahead before its changes are fetched: as a
+rule this instance's own watch returns them within a few milliseconds. An
+instance on standby fetches at once."""
 
 POLL_SECONDS = 0.1
-"""Pause between two looks at who is ahead."""
+"""Interval between two checks whether another instance is ahead."""
 
 IDLE_TIMEOUT_SECONDS = 1.0
-"""How long another instance may send nothing within a fetch. One that sends
-slowly is not given up: what has come would come again, over the same link."""
+"""How long another instance may send nothing during a fetch. A slow fetch is
+not aborted, as the next one would send the same bytes over the same link."""
 
 FETCH_TIMEOUT_SECONDS = 5.0
-"""How long a fetch may take: the largest value, compressed, for sixty at once
-takes 4 s on a link of 10 Mbit/s."""
+"""How long a fetch may take. Sending the largest value, compressed, to sixty
+instances at once takes 4 s on a link of 10 Mbit/s."""
 
 LARGE_VALUE_BYTES = 16384
-"""Size from which a value is fetched apart from the others: below, ten copies
-hold up a link of 10 Mbit/s for an eighth of a second at most."""
+"""Size from which a value is fetched separately from the others. Ten copies of
+a smaller one occupy a link of 10 Mbit/s for an eighth of a second at most."""
 
 READ_BYTES = 65536
 
 SEND_BYTES = 16384
-"""Bytes that have to go out within the time for silence; on a slow link that
-sixty others share each second has room for them."""
+"""Number of bytes that have to be sent within ``IDLE_TIMEOUT_SECONDS``. A slow
+link that sixty others share has room for them in each second."""
 
 
 class Replication:
     """Fetches changes from other instances and serves them.
 
     Args:
-        settings: where this instance listens.
-        members: what is known of the others.
-        mirror: the copy of the store, also served to others.
+        settings: settings of this instance.
+        members: the other instances.
+        mirror: the local copy of the store, also served to others.
         ticker: the clock.
-        take: called with changes that another instance told, and the time
-            at which it saw the store return from an outage.
-        follower: reads the store, or leaves it to others.
-        log: where changes are told.
+        handle_changes: called with the changes of a fetch and the clock
+            time at which the other instance saw the latest outage of the
+            store end.
+        follower: reads the store, or is on standby.
+        log: receives events on fetches.
 
     Attributes:
-        taken: fetches that brought changes.
-        failed: fetches that broke or took too long.
-        received: bytes that came by them.
+        taken: successful fetches.
+        failed: fetches that failed or timed out.
+        received: bytes received by all fetches.
     """
 
     def __init__(
@@ -95,7 +99,7 @@
         self.received = 0
 
     def open(self) -> None:
-        """Listen for questions of other instances."""
+        """Listen for fetches of other instances."""
         peers = self._settings.peers
         self._server = gevent_server.StreamServer(
             (str(peers.address), peers.port), self._serve
@@ -108,23 +112,23 @@
             self._server.stop(timeout=0)
 
     def get_behind_seconds(self) -> float:
-        """Return how long this instance has lacked what others know."""
+        """Return for how long other instances have been ahead, seconds."""
         if self._behind_since is None:
             return 0.0
         return self._ticker.now() - self._behind_since
 
     def catch_up(self) -> None:
-        """Fetch from others what the store does not tell, for ever."""
+        """Fetch changes from other instances until the task is killed."""
         while True:
             self._ticker.sleep(POLL_SECONDS)
             self.fetch_if_behind()
 
     def fetch_if_behind(self) -> None:
-        """Fetch the changes of an instance that has been ahead for long.
+        """Fetch changes if another instance has been ahead for too long.
 
-        Load: a store that turns some instances away and serves others.
-        Harm: those would act on an old configuration, and send to
-        endpoints that have left, for as long as that lasts.
+        The store may fail for some instances and answer others. Without a
+        fetch, the former would use an outdated configuration and send
+        requests to endpoints that have left, for as long as that lasts.
         """
         now = self._ticker.now()
         is_full_fetch_running = (
@@ -144,7 +148,8 @@
             return
         if self._behind_since is None:
             self._behind_since = now
-        # One that has just started knows nothing that it could serve with.
+        # An instance without a first copy fetches at once, too, since it
+        # can't serve callers yet.
         follows_store = (
             self._mirror.revision > 0 and not self._follower.on_standby
         )
@@ -159,15 +164,15 @@
         if held.is_complete:
             self._behind_since = None
         elif not is_full_fetch_running:
-            # Large values come beside this task. Within it, what changes
-            # meanwhile would wait for them: requests went to endpoints
-            # that had left while a configuration was on its way.
+            # Large values are fetched by a separate greenlet. In this task,
+            # changes that follow would wait for them: requests were sent to
+            # endpoints that had left while a configuration was transferred.
             self._full_fetch = gevent.spawn(
                 self._fetch, newest, include_large=True
             )
 
     def _choose_source(self, ahead: list[messages.Report]) -> messages.Report:
-        """Return the neighbour to fetch from, a near one if there is one."""
+        """Return the instance to fetch from, one nearby if possible."""
         revision = max(r.revision for r in ahead)
         newest = [r for r in ahead if r.revision == revision]
         local = [
@@ -238,7 +243,7 @@
             sock.sendall(messages.CODEC.encode(want))
             held = messages.unpack(reader.read(sock))
         if not isinstance(held, messages.Held):
-            raise ValueError("not an answer")
+            raise ValueError(f"expected Held, got {type(held).__name__}")
         return held
 
     def _serve(self, sock: socket.socket, sender: tuple[str, int]) -> None:
@@ -252,7 +257,7 @@
                     )
         except (OSError, ValueError, msgpack.UnpackException) as error:
             logging.warning(
-                "%s a question of %s failed: %s.",
+                "%s failed to serve a fetch of %s: %s.",
                 LOG,
                 sender[0],
                 type(error).__name__,
@@ -280,18 +285,18 @@
     """Reads one message from a stream.
 
     Attributes:
-        received: bytes that have come.
+        received: bytes received so far.
     """
 
     def __init__(self) -> None:
         self.received = 0
 
     def read(self, sock: socket.socket) -> messages.Message:
-        """Wait for a message.
+        """Wait for a message and return it.
 
         Raises:
-            OSError: the connection broke, or fell silent.
-            ValueError: what came is no message.
+            OSError: the connection failed or timed out.
+            ValueError: the bytes received are not a valid message.
         """
         unpacker = messages.CODEC.make_unpacker()
         while data := sock.recv(READ_BYTES):
@@ -299,7 +304,9 @@
             unpacker.feed(data)
             for raw in unpacker:
                 return messages.CODEC.decode(raw)
-        raise ValueError("the connection ended within a message")
+        raise ValueError(
+            f"connection closed after {self.received} bytes of a message"
+        )
 
 
 def _send_in_pieces(sock: socket.socket, data: bytes) -> None:
