--- a/citronport/relay/__init__.py
+++ b/citronport/relay/__init__.py
@@ -1,1 +1,1 @@
-"""An instance that sends requests to endpoints by itself."""
+"""Relay mode: each instance routes requests to endpoints by itself."""
--- a/citronport/relay/eventlog.py
+++ b/citronport/relay/eventlog.py
@@ -1,7 +1,7 @@
 """Structured log lines: one JSON object a line, on standard output.
 
-Writing never waits: what the reader does not take in time is counted and
-dropped.
+Writing never blocks: lines that the reader does not take in time are counted
+and dropped.
 """
 
 import collections
@@ -16,19 +16,24 @@
 from citronport.relay import events
 
 LINES_PER_SECOND = 200
-"""Lines a second that are written at most. At 94 requests a second and
-instance it holds two lines for each; a burst of refusals is summed up."""
+"""Maximum rate of lines. It allows for two lines a request at 94 requests a
+second and instance; the lines of a burst of refusals are dropped and
+counted."""
 
 _WORD_END = re.compile(r"(?<!^)(?=[A-Z])")
 
 
 class Log:
-    """Writes events within a bound, without waiting for the reader.
+    """Writes events at a limited rate, without waiting for the reader.
 
     Args:
-        instance: name of this instance, on each line.
+        instance: name of this instance, written on each line.
         ticker: the clock.
-        descriptor: where lines go.
+        descriptor: file descriptor that lines are written to.
+
+    Attributes:
+        dropped: number of dropped lines by event, since they were last
+            logged.
     """
 
     def __init__(
@@ -41,7 +46,7 @@
         self._written = 0
         self._unsent = b""
         self.dropped: collections.Counter[str] = collections.Counter()
-        # A reader that stops reading must not stop the instance.
+        # A reader that stops reading must not block the instance.
         flags = fcntl.fcntl(descriptor, fcntl.F_GETFL)
         fcntl.fcntl(descriptor, fcntl.F_SETFL, flags | os.O_NONBLOCK)
 
@@ -95,7 +100,7 @@
             except BlockingIOError:
                 return False
             except OSError:
-                # Nobody will ever read; there is nobody to tell either.
+                # The reader is gone, and the loss can't be logged elsewhere.
                 self._unsent = b""
                 return True
             self._unsent = self._unsent[written:]
@@ -103,7 +108,7 @@
 
 
 def get_event_name(kind: type) -> str:
-    """Return the name of an event as it stands in the lines."""
+    """Return the name of an event as it is written on a line."""
     return _WORD_END.sub("_", kind.__name__).lower()
 
 
--- a/citronport/relay/events.py
+++ b/citronport/relay/events.py
@@ -1,6 +1,7 @@
-"""What an instance tells in its log lines.
+"""Events that an instance writes to its log.
 
-The name of an event's class and its fields are the line.
+The name of a class is the name of its event, and its fields are those of the
+line: both are part of the log format.
 """
 
 import dataclasses
@@ -8,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Started:
-    """The process began to work."""
+    """The process started."""
 
     incarnation: str
     version: str
@@ -16,21 +17,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ready:
-    """The instance can serve callers, or no longer can."""
+    """The readiness of the instance changed."""
 
     ready: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Leaving:
-    """A stop was ordered."""
+    """A graceful shutdown was requested."""
 
     requests: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Stopped:
-    """The process ends."""
+    """The process exits."""
 
     requests: int
 
@@ -45,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigurationInForce:
-    """A new version of the configuration is used from now on."""
+    """A new version of the configuration took effect."""
 
     version: int
     revision: int
@@ -55,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class InputRejected:
-    """A value of the store could not be used and was left out."""
+    """A value in the store is invalid and was ignored."""
 
     code: int
     key: str
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DataCentreChanged:
-    """Operators took a data centre out or back."""
+    """Operators evacuated a data centre or ended its evacuation."""
 
     data_centre: str
     evacuated: bool
@@ -86,12 +87,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EndpointLimited:
-    """An endpoint names another limit in its answers than before.
+    """The limit that an endpoint names in its answers changed.
 
     Attributes:
-        endpoint: its name.
-        rate: requests a second that it takes from all instances together;
-            -1 if it names no limit any more.
+        endpoint: name of the endpoint.
+        rate: requests a second that it accepts from all instances together;
+            -1 if it no longer names a limit.
     """
 
     endpoint: str
@@ -100,7 +101,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EndpointGone:
-    """An endpoint's entry was removed; lapsed: around a store outage."""
+    """An endpoint's entry was removed.
+
+    Attributes:
+        endpoint: name of the endpoint.
+        revision: store revision of the removal.
+        lapsed: whether it was removed around an outage of the store, so
+            that the endpoint may still be running.
+    """
 
     endpoint: str
     revision: int
@@ -117,12 +125,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoreSilent:
-    """A question to the store brought no usable answer.
+    """A call to the store failed.
 
     Attributes:
-        reason: what came instead.
-        seconds: how long it was out.
-        received: bytes of its answer that came.
+        reason: the error.
+        seconds: duration of the call.
+        received: bytes of the answer that were received.
     """
 
     reason: str
@@ -140,7 +148,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PeerChanged:
-    """Another instance came into reach or went out of it."""
+    """Another instance came into reach or went out of reach."""
 
     peer: str
     in_reach: bool
@@ -149,14 +157,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NewsFromPeer:
-    """Changes of the store were taken from another instance.
+    """Changes of the store were fetched from another instance.
 
     Attributes:
-        peer: the other instance.
-        revision: all changes up to this one are known now.
-        items: how many of them were news.
-        seconds: how long the fetch took.
-        received: bytes that came.
+        peer: name of the other instance.
+        revision: store revision up to which the other instance knows all
+            changes.
+        items: number of changes that were not known yet.
+        seconds: duration of the fetch.
+        received: bytes received.
     """
 
     peer: str
@@ -168,14 +177,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NewsFailed:
-    """Another instance knows more, and fetching it failed.
+    """Another instance is ahead, and the fetch of its changes failed.
 
     Attributes:
-        peer: the other instance.
-        reason: what went wrong.
-        seconds: how long the fetch took.
-        received: bytes that came and were thrown away.
-        behind_seconds: for how long this instance has lacked the news.
+        peer: name of the other instance.
+        reason: type of the error.
+        seconds: duration of the fetch.
+        received: bytes received and discarded.
+        behind_seconds: time for which other instances have been ahead.
     """
 
     peer: str
@@ -187,7 +196,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerChanged:
-    """Another instance hands out the places of a service's endpoints."""
+    """The owner of a service's endpoints, which grants places, changed."""
 
     service: str
     pool: int
@@ -197,24 +206,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerSilent:
-    """An owner did not answer and is passed over for a while."""
+    """An owner did not answer and is skipped for a while."""
 
     owner: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRefused:
-    """A request was refused before it was looked for a place.
+    """A request was refused before it was queued for a place.
 
     Attributes:
-        request: its id; empty if its head holds none.
-        route: name of the route; empty if none fits.
+        request: id of the request; empty if its head holds none.
+        route: name of the route; empty if none matches.
         code: numbered result code.
         status: HTTP status.
-        retry_after: seconds until it may come back; -1 if that is no use.
-        version: of the configuration used; 0 without one.
-        store_seconds: age of the store's newest answer.
-        reach: share of the instances in reach, for limits.
+        retry_after: seconds after which to retry; -1 if a retry is of no
+            use.
+        version: version of the configuration used; 0 without one.
+        store_seconds: age of the store's latest answer.
+        reach: share of the known instances in reach, which limits depend
+            on.
     """
 
     request: str
@@ -229,21 +240,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestSent:
-    """A request goes to an endpoint.
+    """A request is sent to an endpoint.
 
     Attributes:
-        request: its id.
-        endpoint: chosen.
+        request: id of the request.
+        endpoint: name of the chosen endpoint.
         attempt: number of the send, from 1.
-        waited: seconds in the queue here.
-        prompt: tokens to read.
-        output: most tokens to write.
-        hint: tokens that the caller expects.
-        expected: seconds to the first event, as estimated.
-        load: requests that are known to be there.
+        waited: seconds in the queue of this instance.
+        prompt: number of prompt tokens.
+        output: maximum number of output tokens.
+        hint: number of output tokens that the caller expects.
+        expected: estimated seconds to the first event.
+        load: requests that are known to run there.
         pace: known pace of the endpoint, milliseconds a step.
         leased: whether the owner of the endpoint chose it.
-        fingerprint: the same for all requests that ask for the same.
+        fingerprint: identical for requests with identical content.
     """
 
     request: str
@@ -262,16 +273,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SendFailed:
-    """A send brought no answer, or one that it did not run.
+    """A send got no answer, or the answer that the request did not run.
 
     Attributes:
-        request: its id.
-        endpoint: where it was sent.
+        request: id of the request.
+        endpoint: name of the endpoint.
         attempt: number of the send, from 1.
         what: what happened.
-        ran: "yes", "no" or "maybe".
-        cut: whether the endpoint's connection broke under it.
-        fingerprint: the same for all requests that ask for the same.
+        ran: whether the request ran: "yes", "no" or "maybe".
+        cut: whether the endpoint's connection broke during the send.
+        fingerprint: identical for requests with identical content.
     """
 
     request: str
@@ -285,12 +296,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestBarred:
-    """An endpoint too many ended under a request; it is not sent any more.
+    """A request is barred, as too many endpoints crashed while it ran.
 
     Attributes:
-        request: its id here; its caller repeats it under other ones.
-        endpoint: which ended last.
-        fingerprint: the same for all requests that ask for the same.
+        request: id of this attempt; its caller repeats it with other ids.
+        endpoint: name of the endpoint that crashed last.
+        fingerprint: identical for requests with identical content.
     """
 
     request: str
@@ -300,25 +311,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestEnded:
-    """The caller's request has its final answer, or its caller left.
+    """A request got its final answer, or its caller disconnected.
 
     Attributes:
-        request: its id.
+        request: id of the request.
         route: name of the route.
-        repeat: what the route allows to be sent a second time.
-        objective: seconds in which an answer is worth most.
-        max_gap: longest pause of a stream in time, seconds; 0: not said.
-        tier: 0 is served first.
+        repeat: repeat policy of the route.
+        objective: latency objective of the route, seconds.
+        max_gap: longest pause of a stream that still counts as in time,
+            seconds; 0 if the route sets none.
+        tier: tier of the request; tier 0 is served first.
         outcome: "answered", "refused", "cut" or "left".
         status: HTTP status; 0 if none was sent.
         code: numbered result code; 0 for an endpoint's own answer.
-        endpoint: which answered; empty if none did.
-        attempts: sends to endpoints.
-        waited: seconds in the queue here.
+        endpoint: name of the endpoint that answered; empty if none did.
+        attempts: number of sends to endpoints.
+        waited: seconds in the queue of this instance.
         first: seconds to the first byte of the answer; -1 without one.
         longest: longest pause between two events of a stream, seconds.
-        seconds: from the head of the request to the end.
-        version: of the configuration used.
+        seconds: seconds from the head of the request to the end.
+        version: version of the configuration used.
     """
 
     request: str
@@ -341,7 +353,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LinesDropped:
-    """Lines that were not written since the last such line."""
+    """Lines were dropped since the last such line."""
 
     count: int
     by_event: dict[str, int]
--- a/citronport/relay/explanation.py
+++ b/citronport/relay/explanation.py
@@ -1,4 +1,4 @@
-"""Finds out from log lines why a request ended as it did."""
+"""Explains from log lines why a request ended as it did."""
 
 import collections.abc
 import dataclasses
@@ -13,8 +13,9 @@
 from citronport.relay import events
 
 CONTEXT_SECONDS = 5.0
-"""How long before a request's first line a change still counts as near:
-longer than the store's watch, a report and a cold start together."""
+"""Time before a request's first line from which other events are shown as
+context. It is longer than a watch of the store, a report interval and a cold
+start together."""
 
 _REQUEST_EVENTS = frozenset(
     eventlog.get_event_name(kind)
@@ -28,20 +29,21 @@
 )
 
 _DOMINANT_SHARE = 0.5
-"""Part of the time to the first byte from which a step counts as cause."""
+"""Share of the time to the first byte from which the time in the queue counts
+as the cause of a late answer."""
 
 Line = dict[str, Any]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Explanation:
-    """What is known of one request.
+    """Log lines and cause of one request.
 
     Attributes:
-        request: its id.
-        way: its own lines, in order of time.
-        context: what the same instance came to believe around it.
-        cause: one sentence.
+        request: id of the request.
+        request_lines: lines of the request, in order of time.
+        context: other lines of the same instance from that time.
+        cause: the cause, in one sentence.
     """
 
     request: str
@@ -56,11 +58,11 @@
     """Explain a request from the log files of instances.
 
     Args:
-        request: its id.
-        paths: log files; lines that are no events are passed over.
+        request: id of the request.
+        paths: log files; lines that hold no event are skipped.
 
     Returns:
-        The explanation, or one line that says why there is none.
+        The explanation, or a line that says why there is none.
     """
     lines: list[Line] = []
     for path in paths:
@@ -87,20 +89,21 @@
 
 
 def parse_line(text: str) -> Line | None:
-    """Return the event of a log line, None if it holds none."""
+    """Return the event of a log line, or None if it holds none."""
     start = text.find('{"at":')
     if start < 0:
         return None
     try:
         line = json.loads(text[start:])
     except ValueError:
-        # Cut off where the file was copied; the rest still tells.
+        # The line is truncated, as in a copy of a file that is being
+        # written. The other lines are still valid.
         return None
     return line if "event" in line and "instance" in line else None
 
 
 def render(explanation: Explanation) -> str:
-    """Return an explanation as text for people."""
+    """Return an explanation as readable text."""
     rows = [f"request {explanation.request}", "", "its way:"]
     rows += [_render_line(line) for line in explanation.request_lines]
     rows += ["", f"on the same instance, from {CONTEXT_SECONDS:g} s before:"]
--- a/citronport/relay/listeners.py
+++ b/citronport/relay/listeners.py
@@ -1,4 +1,4 @@
-"""The servers of an instance, one for each kind of question."""
+"""Servers of an instance: for callers, lookups, readiness and metrics."""
 
 from citronport import settings as common_settings
 from citronport.callers import connections
@@ -9,17 +9,18 @@
 from citronport.scheduler.direct import models
 
 BODY_MEMORY_SHARE = 0.2
-"""Part of the memory that bodies of requests may take together."""
+"""Share of the memory that all request bodies together may take."""
 
 RESERVED_DESCRIPTORS = 200
-"""File descriptors that are left for files, as the machines require."""
+"""Number of file descriptors that are reserved for files, as the platform
+requires."""
 
 
 def make_caller_server(
     settings: settings_module.Settings,
     application: application_module.Application,
 ) -> caller_server.Server:
-    """Return the server for callers' requests."""
+    """Return the server for requests of callers."""
     limits = make_limits(settings, None)
     server = _make_server(settings.callers, application, limits)
     server.singleton_headers = wire.SINGLE
@@ -30,7 +31,10 @@
     settings: settings_module.Settings,
     configuration: models.Configuration | None,
 ) -> connections.Limits:
-    """Return what callers may send, and how long they may take."""
+    """Return the limits on size and time of callers' requests.
+
+    The limits of the configuration are used once one is known.
+    """
     limits = connections.Limits(
         connections=(settings.files - RESERVED_DESCRIPTORS) // 2,
         total_body_bytes=int(settings.memory_mb * 1e6 * BODY_MEMORY_SHARE),
--- a/citronport/relay/messages.py
+++ b/citronport/relay/messages.py
@@ -1,4 +1,8 @@
-"""Typed messages between instances that send by themselves."""
+"""Typed messages that instances in relay mode exchange.
+
+The codec sends fields by position: their order is part of the protocol,
+their names are not.
+"""
 
 import collections.abc
 import dataclasses
@@ -9,41 +13,42 @@
 from citronport.scheduler.direct import suspects
 
 PROTOCOL = 7
-"""Version of this protocol; others are not understood."""
+"""Version of this protocol; messages of other versions are dropped."""
 
 MAX_MESSAGE_BYTES = 8_000_000
-"""A store with values of 1 MB and some thousand endpoints fits."""
+"""Maximum size of a message. It allows for a store with values of 1 MB and
+some thousand endpoints."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """What an instance tells the others several times a second.
+    """State of an instance, sent to the others several times a second.
 
     Attributes:
         protocol: version of the protocol.
-        instance: the sender.
+        instance: name of the sender.
         incarnation: unique for each start of its process.
-        number: grows with each report of an incarnation.
-        data_centre: where the sender stands.
+        number: sequence number within the incarnation.
+        data_centre: data centre of the sender.
         capacity: processor cores that the sender has.
-        callers: its address for callers.
-        peers: its address for other instances.
+        caller_address: its address for callers.
+        peer_address: its address for other instances.
         ready: whether callers should use it.
         leaving: whether it is shutting down.
-        revision: of the store, up to which it knows all changes.
-        store_seconds: age of the store's newest answer to the sender; -1 if
-            it leaves the store to others.
-        passed: units let pass since its start, by workspace.
-        loads: for each endpoint with work or a known pace: its name, own
-            requests there, prompt tokens not read yet, pace in
-            nanoseconds a step (0: not known).
-        profiles: for each service of which it has learnt what requests
-            take: its name, steps until a first event, for each prompt
-            token, and until the end.
-        members: instances that it has heard of lately: name, incarnation,
-            address for other instances, data centre.
-        suspects: requests under which endpoints ended.
-        limits: what endpoints in need have said they take.
+        revision: store revision up to which it knows all changes.
+        store_seconds: age of the store's latest answer to the sender; -1 if
+            the sender is on standby.
+        admitted_units: units admitted since its start, by workspace.
+        loads: for each endpoint with requests or a known pace: its name,
+            number of the sender's requests there, prompt tokens not read
+            yet, pace in nanoseconds a step (0 if unknown).
+        profiles: for each service whose requests it has measured: its name,
+            steps until the first event, steps for each prompt token, and
+            steps until the end.
+        members: selected instances in reach: name, incarnation, address for
+            other instances, data centre.
+        suspects: requests suspected of crashing endpoints.
+        limits: request rates that endpoints named as their limits.
     """
 
     protocol: int
@@ -68,12 +73,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Meet:
-    """Asks a seed for instances of one's own data centre.
+    """Asks a seed for instances of the sender's data centre.
 
     Attributes:
         protocol: version of the protocol.
-        peers: address of the sender for other instances.
-        data_centre: where it stands.
+        peer_address: address of the sender for other instances.
+        data_centre: data centre of the sender.
     """
 
     protocol: int
@@ -82,30 +87,31 @@
 
 
 Row = tuple[str, str, int, float, float, str, str, bool, bool, int, float]
-"""What a summary tells of one instance; see ``Summary.rows``."""
+"""State of one instance in a summary; see ``Summary.rows``."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Summary:
-    """What an envoy tells another data centre of its own one.
+    """State of a data centre, sent by one of its envoys to another one.
 
     Attributes:
         protocol: version of the protocol.
-        instance: the sender.
+        instance: name of the sender.
         incarnation: unique for each start of its process.
-        number: grows with each summary of an incarnation.
-        data_centre: where the sender and all of these instances stand.
-        passed_on: whether it comes from an instance of the receiver's own
-            data centre, which has got it from the envoy.
-        rows: of each instance in reach its name, incarnation, number of
-            its report, age of that in seconds, and as the report tells
-            them ``capacity``, ``callers``, ``peers``, ``ready``,
-            ``leaving``, ``revision`` and ``store_seconds``.
-        passed: units that all instances there let pass since the sender's
-            start, by workspace.
+        number: sequence number within the incarnation.
+        data_centre: data centre of the sender and of all rows.
+        is_forwarded: whether an instance of the receiver's data centre,
+            which got it from the envoy, has forwarded it.
+        rows: for each instance in reach: its name, incarnation, number of
+            its latest report, age of that report in seconds, and these
+            fields of it: ``capacity``, ``caller_address``,
+            ``peer_address``, ``ready``, ``leaving``, ``revision`` and
+            ``store_seconds``.
+        admitted_units: units that all instances of the data centre have
+            admitted since the sender's start, by workspace.
         profiles: as in a report.
         members: as in a report; two data centres that do not know each
-            other hear of each other by a third one.
+            other are introduced by a third one.
         suspects: as in a report.
         limits: as in a report.
     """
@@ -126,12 +132,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Want:
-    """Asks for what the store holds beyond a revision.
+    """Requests the items of the store changed after a revision.
 
     Attributes:
         protocol: version of the protocol.
-        revision: up to which the sender knows all changes.
-        whole: whether large values are wanted, too.
+        revision: revision up to which the sender knows all changes.
+        include_large: whether to include large values.
     """
 
     protocol: int
@@ -144,12 +150,12 @@
     """Answers ``Want``.
 
     Attributes:
-        revision: up to which the sender knows all changes.
-        returned_seconds: time since the store was last back after an
-            outage, as the sender saw it; infinite if it never was away.
-        keys: of all items.
-        items: key, value and revision of those that were asked for.
-        whole: whether none was left out for its size.
+        revision: revision up to which the sender knows all changes.
+        recovered_seconds: time since the sender saw the latest outage of
+            the store end; infinite before the first one.
+        keys: keys of all items.
+        items: key, value and revision of the requested items.
+        is_complete: whether no item was left out because of its size.
     """
 
     revision: int
@@ -168,24 +174,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ask:
-    """Asks the owner of a service's endpoints for a place.
+    """Asks the owner of a service's endpoints for a place for a request.
 
-    It is sent again until it is answered, and while the request waits; a
-    second one with the same id changes nothing.
+    It is repeated until it is answered and while the request waits. It is
+    idempotent: a repetition with the same request id changes nothing.
 
     Attributes:
         protocol: version of the protocol.
-        instance: the sender.
+        instance: name of the sender.
         request: id of the request.
-        service: where it goes.
+        service: name of its service.
         route: name of its route.
-        tier: 0 is served first.
-        prompt: tokens to read.
-        output: most tokens to write.
-        expected: tokens that it probably writes.
-        spent: time since the request arrived, seconds.
-        left: time until its deadline, seconds.
-        tried: endpoints that it must not go to again.
+        tier: its tier; tier 0 is served first.
+        prompt: number of prompt tokens.
+        output: maximum number of output tokens.
+        expected: expected number of output tokens.
+        elapsed_seconds: time since the request arrived, seconds.
+        remaining_seconds: time until its deadline, seconds.
+        tried: endpoints that the request must not be sent to again.
     """
 
     protocol: int
@@ -208,12 +214,12 @@
 
     Attributes:
         protocol: version of the protocol.
-        instance: the sender.
+        instance: name of the sender.
         request: id of the request.
-        endpoint: where it may go now.
+        endpoint: endpoint that it may be sent to now.
         seconds: expected time to the first event.
-        load: requests that run there, with this one.
-        pace: of the endpoint, nanoseconds a step.
+        load: number of requests that run there, including this one.
+        pace: pace of the endpoint, nanoseconds a step.
     """
 
     protocol: int
@@ -235,12 +241,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Full:
-    """Answers ``Ask``: the request would wait in vain.
+    """Answers ``Ask``: the request would not get a place in time.
 
     Attributes:
         protocol: version of the protocol.
         request: id of the request.
-        seconds: after which it may find a place.
+        seconds: time after which it may get a place.
     """
 
     protocol: int
@@ -250,7 +256,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Declined:
-    """Answers ``Ask``: the receiver can't decide on this request."""
+    """Answers ``Ask``: the instance asked can't decide on this request."""
 
     protocol: int
     request: str
@@ -258,7 +264,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Begun:
-    """Tells the owner that a request has got its first event."""
+    """Notifies the owner that a request got its first event."""
 
     protocol: int
     request: str
@@ -267,16 +273,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ended:
-    """Tells the owner that a request needs its place no longer.
+    """Notifies the owner that a request no longer needs its place.
 
     Attributes:
         protocol: version of the protocol.
-        instance: the sender.
+        instance: name of the sender.
         request: id of the request.
-        endpoint: where its place was; empty if it stops waiting.
-        verdict: a ``board.Verdict`` on the endpoint.
-        pace: measured, nanoseconds a step; 0 if it was not.
-        seconds: time of a plain answer; 0 without one.
+        endpoint: endpoint of its place; empty if it stops waiting.
+        verdict: a ``runs.Verdict`` on the endpoint.
+        pace: measured pace, nanoseconds a step; 0 if not measured.
+        seconds: duration of an answer that was not streamed; 0 without one.
     """
 
     protocol: int
@@ -290,13 +296,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Holding:
-    """Tells an owner all leases that an instance holds of it.
+    """Notifies an owner of all its leases that an instance holds.
 
     Attributes:
         protocol: version of the protocol.
-        instance: the sender.
-        leases: request id, endpoint, and the tokens of its prompt if it
-            has not begun.
+        instance: name of the sender.
+        leases: request id, endpoint, and the number of prompt tokens if the
+            request has not got its first event yet.
     """
 
     protocol: int
@@ -310,10 +316,10 @@
 
 MakeReport = collections.abc.Callable[..., Report]
 """Returns the report of this instance; given a data centre, one that names
-members there."""
+members of it only."""
 
 SendLeaseMessage = collections.abc.Callable[[str, LeaseMessage], None]
-"""Sends a message on leases to an instance, named."""
+"""Sends a message on leases to the instance with the given name."""
 
 Message = Report | Meet | Summary | Want | Held | Packed | LeaseMessage
 
@@ -339,21 +345,21 @@
 
 
 def pack(message: Message) -> bytes:
-    """Return a message as it goes over a slow link.
+    """Return a message compressed, for slow links.
 
-    Load: a configuration of 1,850 routes, which each instance fetches when
-    it changes. Harm: 450 KB for each of ninety fill the links of 10 Mbit/s
-    for seconds; compressed it is a thirteenth.
+    Each instance fetches the configuration when it changes. With 1,850
+    routes it has 450 KB, and ninety transfers would fill links of 10 Mbit/s
+    for seconds; compressed it has a thirteenth of that size.
     """
     data = zlib.compress(CODEC.encode(message), level=1)
     return CODEC.encode(Packed(data=data))
 
 
 def unpack(message: Message) -> Message:
-    """Return the message that another one holds, or itself.
+    """Return the message in a ``Packed`` one, or any other unchanged.
 
     Raises:
-        ValueError: it holds none, or one that is too long.
+        ValueError: the content is invalid or too long.
     """
     if not isinstance(message, Packed):
         return message
@@ -361,7 +367,10 @@
     try:
         data = decompressor.decompress(message.data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
-        raise ValueError("not compressed") from error
+        raise ValueError("invalid zlib data in Packed message") from error
     if not decompressor.eof:
-        raise ValueError("too long, or cut")
+        raise ValueError(
+            f"Packed message truncated or longer than {MAX_MESSAGE_BYTES} "
+            "bytes"
+        )
     return CODEC.unpack(data)
--- a/citronport/relay/metrics.py
+++ b/citronport/relay/metrics.py
@@ -13,29 +13,30 @@
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0,
     float("inf"),
 )  # fmt: skip
-"""Upper bounds in seconds; among them the objectives of the deployments."""
+"""Upper bounds of histogram buckets, seconds. They include the latency
+objectives of the deployments."""
 
 _LABEL_ESCAPES = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
 
 
 def make_histogram() -> histogram.Histogram:
-    """Return an empty histogram of times."""
+    """Return an empty histogram of durations."""
     return histogram.Histogram(*BUCKETS)
 
 
 class Counts:
-    """What has happened since the start of the process.
+    """Counters and histograms since the start of the process.
 
     Attributes:
-        requests: by kind of route, tier and outcome.
-        refusals: by name of the numbered code.
-        sends: to endpoints, by what came of them.
-        leased: sends whose endpoint its owner chose.
-        repeats: sends beyond the first of a request.
-        cuts: sends under which the endpoint's connection broke.
+        requests: requests by kind of route, tier and outcome.
+        refusals: refusals by name of the result code.
+        sends: sends to endpoints, by result.
+        leased: sends to an endpoint that its owner chose.
+        repeats: sends of a request beyond the first one.
+        cuts: sends during which the endpoint's connection broke.
         first: time to the first byte of an answer, by kind of route.
         pauses: longest pause of each stream.
-        waits: time in the queue here.
+        waits: time in the queue of this instance.
     """
 
     def __init__(self) -> None:
@@ -56,32 +57,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class State:
-    """What an instance is like at the moment of reading.
+    """State of an instance at the time of a scrape.
 
     Attributes:
         up_seconds: time since the start.
-        ready: whether callers should come here.
+        ready: whether callers should use this instance.
         running: requests in progress.
         waiting: requests that wait for an endpoint.
         peers: other instances in reach.
-        known: instances that may serve callers, with this one.
+        known: instances that may serve callers, including this one.
         configuration: version in force; 0 without one.
-        store_seconds: age of the store's newest answer.
-        store_revision: up to which all changes are known.
+        store_seconds: age of the store's latest answer.
+        store_revision: store revision up to which all changes are known.
         store_calls: calls to the store since the start.
-        store_failures: of these, without a usable answer.
-        summaries_made: of this data centre, for other ones.
-        summaries_taken: of other data centres; the same one counts once.
-        news_taken: fetches of changes from other instances.
-        news_failed: those that broke or took too long.
-        news_received: bytes that came by both.
-        news_behind_seconds: time for which others have known more.
+        store_failures: calls to the store without a usable answer.
+        summaries_made: summaries made of this data centre.
+        summaries_taken: summaries applied of other data centres; the same
+            one counts once.
+        news_taken: successful fetches of changes from other instances.
+        news_failed: fetches that failed or timed out.
+        news_received: bytes received by all fetches.
+        news_behind_seconds: time for which others have been ahead.
         endpoints: listed endpoints.
-        cold: of these, cold ones.
-        limited: of these, those that name a limit in their answers.
-        leases: places handed out to other instances now.
-        barred: requests that are not sent, as endpoints ended under them.
-        lines_dropped: log lines not written since they were last told.
+        cold: cold endpoints.
+        limited: endpoints that name a limit in their answers.
+        leases: places granted to other instances now.
+        barred: requests that are not sent any more, as they are suspected
+            of crashing endpoints.
+        lines_dropped: log lines dropped since they were last logged.
         oldest_report_seconds: age of the oldest report in use.
     """
 
--- a/citronport/relay/reports.py
+++ b/citronport/relay/reports.py
@@ -1,4 +1,4 @@
-"""The report that an instance tells others, and what it takes from theirs."""
+"""Contents of the reports that instances send to each other."""
 
 import collections.abc
 
@@ -16,20 +16,20 @@
 
 
 class Reports:
-    """Makes reports and takes those of other instances.
+    """Makes this instance's reports and applies those of other instances.
 
     Args:
-        settings: of this instance.
-        incarnation: of this start of it.
+        settings: settings of this instance.
+        incarnation: unique for each start of the process.
         members: the other instances.
-        board: loads and paces.
+        board: loads and paces of endpoints.
         quotas: limits of workspaces.
-        suspects: requests under which endpoints ended.
-        limits: what endpoints in need have said they take.
-        mirror: copy of the store.
+        suspects: requests suspected of crashing endpoints.
+        limits: request rates that endpoints named as their limits.
+        mirror: the local copy of the store.
         follower: reads the store.
-        is_ready: whether callers should come here.
-        is_leaving: whether this instance shuts down.
+        is_ready: returns whether callers should use this instance.
+        is_leaving: returns whether this instance is shutting down.
         ticker: the clock.
     """
 
@@ -70,7 +70,7 @@
         """Return this instance's report.
 
         Args:
-            data_centre: whose members it names; any by default.
+            data_centre: only name members of it; any by default.
         """
         now = self._ticker.now()
         settings = self._settings
@@ -108,9 +108,9 @@
         )
 
     def apply(self, report: messages.Report) -> None:
-        """Take a fresh report of another instance."""
+        """Apply a new report of another instance."""
         if self._members.is_remote(report.data_centre):
-            # What it let pass comes with the sums of its data centre.
+            # Its admitted units are part of the sums of its data centre.
             return
         now = self._ticker.now()
         self._board.apply_report(
--- a/citronport/relay/settings.py
+++ b/citronport/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance that sends by itself, read from YAML."""
+"""Settings of an instance in relay mode, read from YAML."""
 
 import pathlib
 from typing import Annotated
@@ -35,16 +35,19 @@
 
 
 class Bounds(pydantic.BaseModel):
-    """What the operators promise their callers; a default where unsaid.
+    """Bounds that the operators guarantee to callers.
 
     Attributes:
-        grace_seconds: time from the order to stop until the kill.
-        retry_ratio: repeats for each request of a service.
-        retry_extra: repeats in a window beyond that.
-        retry_window_seconds: span over which repeats are counted.
-        limit_over: share beyond a workspace's limit that is tolerated.
-        limit_slack: units beyond it that are tolerated besides.
-        reuse_seconds: how long an address stays unused after its endpoint.
+        grace_seconds: time from the signal to stop until the process is
+            killed.
+        retry_ratio: repeats allowed for each request of a service.
+        retry_extra: repeats allowed in a window beyond that.
+        retry_window_seconds: window over which repeats are counted.
+        limit_over: tolerated excess over a workspace's limit, as a share of
+            the limit.
+        limit_slack: tolerated excess beyond that, in units.
+        reuse_seconds: time after which the address of a gone endpoint may
+            be used by another one.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
@@ -60,32 +63,32 @@
     @pydantic.model_validator(mode="before")
     @classmethod
     def drop_unset(cls, value: Any) -> Any:
-        """Let a key without a value stand for its default."""
+        """Use the default for a key without a value."""
         if isinstance(value, dict):
             return {k: v for k, v in value.items() if v is not None}
         return value
 
 
 class Settings(pydantic.BaseModel):
-    """What an instance knows before it asks anybody.
+    """Settings of an instance.
 
     Attributes:
-        instance: its name.
-        data_centre: where it stands.
-        callers: where callers connect.
-        readiness: where the platform asks whether it is ready.
-        lookups: where callers ask which instances to use.
-        peers: where other instances ask for what is published.
-        reports: port of the reports between instances, the same on all.
+        instance: name of the instance.
+        data_centre: data centre of the instance.
+        callers: address for requests of callers.
+        readiness: address for the platform's readiness checks.
+        lookups: address at which callers look up which instances to use.
+        peers: address at which other instances fetch changes of the store.
+        reports: UDP port for reports, the same on all instances.
         metrics: port of the metrics.
-        store: where the platform's store listens.
-        seeds: ``peers`` of some instances, which may be stale or down.
+        store: address of the platform's store.
+        seeds: ``peers`` of some instances, which may be outdated or down.
         memory_mb: memory beyond which the process is killed.
-        cores: part of a processor core that the process may use.
-        core_speed: how fast that core is, against a common one.
-        files: file descriptors that the process may have.
-        bounds: what the operators promise.
-        log_level: from which level on log lines are written.
+        cores: processor cores, or a part of one, that the process may use.
+        core_speed: speed of these cores relative to a reference core.
+        files: maximum number of file descriptors of the process.
+        bounds: bounds that the operators guarantee.
+        log_level: minimum level of log lines.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
@@ -115,7 +118,7 @@
 
     @property
     def capacity(self) -> float:
-        """Return what the process can do, in common processor cores."""
+        """Return the capacity of the process, in reference cores."""
         return self.cores * self.core_speed
 
 
--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -1,4 +1,4 @@
-"""Summaries by which data centres of a large fleet hear of each other."""
+"""Summaries that the data centres of a large fleet exchange."""
 
 from citronport.relay import membership as membership_module
 from citronport.relay import messages
@@ -8,26 +8,26 @@
 from citronport.scheduler.direct import suspects as suspects_module
 
 MAX_CHANGES = 64
-"""Changes of one kind told in one summary, of all instances together."""
+"""Maximum number of suspects, and of endpoint limits, in one summary."""
 
 
 class Summaries:
-    """Makes the summaries of one data centre and takes those of others.
+    """Makes the summaries of one data centre and applies those of others.
 
     Args:
         instance: name of this instance.
-        incarnation: of this start of it.
-        data_centre: where it stands.
+        incarnation: unique for each start of the process.
+        data_centre: data centre of this instance.
         members: the other instances.
         quotas: limits of workspaces.
-        profiles: what requests take.
-        suspects: requests under which endpoints ended.
-        limits: what endpoints in need have said they take.
-        describe: returns this instance's report.
+        profiles: learnt costs of requests, by service.
+        suspects: requests suspected of crashing endpoints.
+        limits: request rates that endpoints named as their limits.
+        make_report: returns this instance's report.
 
     Attributes:
         made: summaries made since the start.
-        taken: summaries taken since the start.
+        taken: summaries applied since the start.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         self._make_report = make_report
         self.made = 0
         self.taken = 0
-        # Of each envoy its start and the number of its newest summary.
+        # Incarnation and latest summary number of each envoy.
         self._last_seen: dict[str, tuple[str, int]] = {}
 
     def make(self, now: float) -> messages.Summary:
-        """Return what to tell other data centres of this one."""
+        """Return a summary of this data centre for other ones."""
         self.made += 1
         local = [*self._members.list_local(now), (self._make_report(), 0.0)]
-        # One that learns is enough for a service: the owner of its pool.
+        # One profile for each service is enough: that of its pool's owner.
         profiles = {row[0]: row for r, _ in local for row in r.profiles}
         return messages.Summary(
             protocol=messages.PROTOCOL,
@@ -78,16 +78,16 @@
         )
 
     def apply(self, summary: messages.Summary, now: float) -> bool:
-        """Take a summary; return False if it is known already, or one's own.
+        """Apply a summary; return False if it is outdated or one's own.
 
         Args:
-            summary: of any data centre.
+            summary: summary of any data centre.
             now: clock time, seconds.
         """
         if summary.data_centre == self._data_centre:
             return False
-        # The same summary comes straight and passed on, and one that was
-        # overtaken is of no use any more.
+        # The same summary may arrive directly and forwarded. One that
+        # arrives after a later one is dropped.
         known = self._last_seen.get(summary.instance)
         start = summary.incarnation
         if known and known[0] == start and known[1] >= summary.number:
@@ -136,7 +136,7 @@
 def _read_row(
     summary: messages.Summary, row: messages.Row
 ) -> tuple[messages.Report, float]:
-    """Return the report that a row stands for, and its age in seconds."""
+    """Return the report of a row, and its age in seconds."""
     (
         instance,
         incarnation,
