--- a/citronport/relay/gossip.py
+++ b/citronport/relay/gossip.py
@@ -56,7 +56,7 @@
 
     Args:
         settings: where this instance listens.
-        members: the other instances.
+        members: what is known of the others.
         ticker: the clock.
         make_report: returns this instance's report.
         handle_report: called with each new report.
--- a/tests/relay/instances.py
+++ b/tests/relay/instances.py
@@ -1,4 +1,4 @@
-"""Instances as processes before a fake store, for tests."""
+"""Instances as processes with a fake store, for tests."""
 
 import json
 import pathlib
@@ -23,11 +23,11 @@
 }
 REPORTS, METRICS = 7600, 9464
 SECONDS = 8.0
-"""How long anything may take that should take a moment."""
+"""Timeout for steps that should be nearly instant."""
 
 
 class InstanceCase(testtools.TestCase):
-    """A store with a configuration, and an endpoint."""
+    """Test case with a store that holds a configuration, and an endpoint."""
 
     def setUp(self):
         """Start a store with a configuration, and an endpoint."""
@@ -68,7 +68,7 @@
         self.store.put("op/config", value)
 
     def put_endpoint(self, name="i-1", **changes):
-        """Enter an endpoint into the list."""
+        """Add an endpoint to the list in the store."""
         entry = {
             **wire_samples.ENTRY,
             "address": self.endpoint.address,
@@ -113,7 +113,7 @@
             return error.code, error.headers, error.read()
 
     def ask(self, host, request_id="id-1", key="key-1", path="/review/x"):
-        """Send a caller's request."""
+        """Send a request as a caller; return status, headers and body."""
         return self.fetch(
             host,
             PORTS["callers"],
@@ -128,20 +128,20 @@
         )
 
     def lookup(self, host):
-        """Return the addresses that a lookup tells."""
+        """Return the addresses in the answer to a lookup."""
         target = "/citronport/resolve?name=shop.example&region=r&zone=a"
         status, _, body = self.fetch(host, PORTS["lookups"], target)
         return json.loads(body)["addresses"] if status == 200 else []
 
     def is_ready(self, host):
-        """Return whether an instance says that it is ready."""
+        """Return whether an instance reports that it is ready."""
         status, _, _ = self.fetch(
             host, PORTS["readiness"], "/citronport/readyz"
         )
         return status == 200
 
     def wait_for(self, what, check):
-        """Wait until something holds."""
+        """Wait until a check returns true; fail after ``SECONDS``."""
         end = time.monotonic() + SECONDS
         while time.monotonic() < end:
             if check():
@@ -150,7 +150,7 @@
         self.fail(f"{what} took too long")
 
     def read_log(self, number):
-        """Return the events that an instance has told."""
+        """Return the events in the log of an instance."""
         text = (self.folder / f"entry-{number}.log").read_text()
         return [
             json.loads(line)
--- a/tests/relay/networks.py
+++ b/tests/relay/networks.py
@@ -1,4 +1,4 @@
-"""A fleet whose datagrams go through memory, for tests."""
+"""A fleet that exchanges datagrams in memory, for tests."""
 
 import collections
 import heapq
@@ -21,7 +21,7 @@
 
 
 class Node:
-    """An instance that tells of itself and hears of others."""
+    """An instance that exchanges reports and summaries with others."""
 
     def __init__(self, network, number, data_centre, seeds):
         self.network = network
@@ -32,7 +32,7 @@
         self.start(seeds)
 
     def start(self, seeds):
-        """Begin anew; nothing is known."""
+        """Start with empty state, as a new incarnation."""
         ticker = self.network.ticker
         self.incarnation = str(ticker.now())
         self.number = 0
@@ -93,7 +93,7 @@
         )
 
     def handle_report(self, report):
-        """Charge what a neighbour let pass."""
+        """Apply a report as an instance does."""
         if not self.members.is_remote(report.data_centre):
             now = self.network.ticker.now()
             self.quotas.apply_totals(
@@ -107,7 +107,7 @@
         self.network.send(self, data, address)
 
     def send_due(self, now):
-        """Send what is due."""
+        """Send the report and the summaries that are due."""
         if now >= self.next_report:
             self.gossip.send_report(self.make_report())
             pause = max(
@@ -128,8 +128,8 @@
     """Instances in several data centres, with the links between them.
 
     Args:
-        instances: how many.
-        data_centres: among how many they are divided.
+        instances: number of instances.
+        data_centres: number of data centres that they are spread over.
     """
 
     def __init__(self, instances, data_centres):
@@ -148,7 +148,7 @@
             self.nodes[node.address] = node
 
     def send(self, sender, data, address):
-        """Take a datagram on its way."""
+        """Queue a datagram for delivery unless the link is blocked."""
         receiver = self.nodes.get(address)
         if receiver is None or self.is_blocked(sender, receiver):
             return
@@ -159,7 +159,7 @@
         heapq.heappush(self._in_flight, item)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the clock, deliver datagrams and let nodes send."""
         end = self.ticker.now() + seconds
         while self.ticker.now() < end:
             self.ticker.advance(0.02)
--- a/tests/relay/nodes.py
+++ b/tests/relay/nodes.py
@@ -1,4 +1,4 @@
-"""An instance's links to the others, for tests."""
+"""The parts of an instance that talk to other instances, for tests."""
 
 import gevent
 
@@ -20,7 +20,7 @@
 
 
 class Node:
-    """An instance and its copy of the store, without callers."""
+    """An instance with its copy of the store, without callers."""
 
     def __init__(self, test, number, subnet, data_centre="a"):
         host = f"127.{subnet}.{number}"
--- a/tests/relay/samples.py
+++ b/tests/relay/samples.py
@@ -1,4 +1,4 @@
-"""Small values that the tests of the relay share."""
+"""Sample values and fixtures that the tests of the relay share."""
 
 import os
 
@@ -102,17 +102,17 @@
 
 
 def make_log(ticker):
-    """Return a log that nobody reads."""
+    """Return a log that writes to the null device."""
     return eventlog.Log("test", ticker, os.open(os.devnull, os.O_WRONLY))
 
 
 class DispatcherFixture:
-    """A dispatcher with the parts that it decides by.
+    """A dispatcher with the objects that it depends on.
 
     Args:
-        endpoints: those that the store lists.
-        ticker: the clock.
-        configuration: in force; the sample if none is given.
+        endpoints: the listed endpoints.
+        ticker: the clock; the real one by default.
+        configuration: the configuration in force; the sample by default.
         own: name of the instance.
     """
 
--- a/tests/relay/test_eventlog.py
+++ b/tests/relay/test_eventlog.py
@@ -1,4 +1,4 @@
-"""Log lines are whole, bounded, and never hold up the instance."""
+"""Log lines are complete, limited in rate, and never block the instance."""
 
 import fcntl
 import json
@@ -12,7 +12,7 @@
 
 
 class EventlogTest(testtools.TestCase):
-    """A log into a pipe that may not be read."""
+    """A log that writes to a pipe."""
 
     def setUp(self):
         """Open the pipe."""
@@ -24,7 +24,7 @@
         self.log = eventlog.Log("entry-1", self.ticker, writer)
 
     def read_lines(self):
-        """Return what came through the pipe."""
+        """Return the lines in the pipe."""
         flags = fcntl.fcntl(self.reader, fcntl.F_GETFL)
         fcntl.fcntl(self.reader, fcntl.F_SETFL, flags | os.O_NONBLOCK)
         data = b""
@@ -32,12 +32,12 @@
             while piece := os.read(self.reader, 1 << 20):
                 data += piece
         except BlockingIOError:
-            # Nothing more is there.
+            # The pipe is empty.
             pass
         return [json.loads(line) for line in data.splitlines()]
 
     def test_a_line_holds_name_and_fields(self):
-        """What a reader needs stands on each line."""
+        """Each line names the instance, the event, its fields and time."""
         self.log.write(events.Ready(ready=True))
         (line,) = self.read_lines()
         self.assertEqual(
@@ -46,7 +46,7 @@
         )
 
     def test_lines_beyond_the_limit_are_counted(self):
-        """Beyond the bound lines are dropped; the next second tells."""
+        """Lines beyond the limit are dropped and counted a second later."""
         for _ in range(eventlog.LINES_PER_SECOND + 50):
             self.log.write(events.Ready(ready=True))
         self.ticker.advance(1.0)
@@ -57,10 +57,10 @@
         self.assertEqual(eventlog.LINES_PER_SECOND + 2, len(lines))
 
     def test_lines_are_dropped_while_the_pipe_is_full(self):
-        """The pipe is full: writing returns, and the loss is counted.
+        """Writing to a full pipe returns, and dropped lines are counted.
 
-        Once the reader is back the lines are whole again, and one of them
-        tells what is missing.
+        Once the pipe is read again, lines are complete, and one of them
+        holds the number of dropped lines.
         """
         for second in range(40):
             self.ticker.advance(1.0)
--- a/tests/relay/test_explanation.py
+++ b/tests/relay/test_explanation.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, with log lines alone."""
+"""Explaining the outcome of a request from log lines alone."""
 
 import json
 import pathlib
@@ -33,7 +33,7 @@
 
 
 class ExplanationTest(testtools.TestCase):
-    """Each way in which a request ends has its sentence."""
+    """Each outcome of a request has its own explanation."""
 
     def write(self, *lines):
         """Write a log file; return its path."""
@@ -48,7 +48,7 @@
         return path
 
     def explain(self, **ended):
-        """Return the cause for a request that ended in a way."""
+        """Return the explanation of a request with the given last line."""
         path = self.write(
             (1.0, {"event": "store_lost", "reason": "busy"}),
             (2.0, {**SENT, "request": "r"}),
@@ -57,7 +57,7 @@
         return explanation.explain("r", [path]).unwrap()
 
     def test_causes(self):
-        """Refused, unknown outcome, late, broken, left, failed there."""
+        """Refused, unknown, late, cut, left by the caller, failed."""
         overloaded = int(errors.Code.OVERLOADED)
         lost = int(errors.Code.ENDPOINT_LOST)
         for fields, words in (
@@ -76,7 +76,7 @@
             self.assertIn(words, self.explain(**fields).cause, fields)
 
     def test_refused_by_an_old_configuration(self):
-        """The version used and the age of what was known are told."""
+        """The cause names the version used and the age of the copy."""
         line = {
             "event": "request_refused",
             "request": "r",
@@ -92,20 +92,20 @@
         self.assertIn("4.0 s old", cause)
 
     def test_context_and_request_lines(self):
-        """The store was lost a second before: the reader sees it."""
+        """The loss of the store a second before is shown as context."""
         found = self.explain()
         text = explanation.render(found)
         self.assertIn("store_lost reason=busy", text)
         self.assertLess(text.index("request_sent"), text.index("request_en"))
 
     def test_instance_died_before_the_request_ended(self):
-        """The request's last line never came."""
+        """The cause is the end of the instance if the last line is missing."""
         path = self.write((2.0, {**SENT, "request": "r"}))
         cause = explanation.explain("r", [path]).unwrap().cause
         self.assertIn("instance ended", cause)
 
     def test_unknown_request_and_missing_file(self):
-        """Each is one line that says so."""
+        """Each is reported as an error in one line."""
         path = self.write((2.0, {**SENT, "request": "r"}))
         self.assertIn("no line", explanation.explain("x", [path]).unwrap_err())
         gone = path.with_name("gone")
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a store that is well, away, or has forgotten its history."""
+"""Following a store that answers, fails, or has compacted its history."""
 
 import testtools
 
@@ -11,7 +11,7 @@
 
 
 class FollowerTest(testtools.TestCase):
-    """Steps of the task against a fake store."""
+    """A follower with a fake store."""
 
     def setUp(self):
         """Start a store with a configuration."""
@@ -34,7 +34,7 @@
         )
 
     def test_reads_once_then_watches(self):
-        """A change comes by the watch, without a second read."""
+        """A change is returned by the watch, without a second full read."""
         self.assertTrue(self.follower.poll())
         self.store.put("servers/a", {})
         self.assertTrue(self.follower.poll())
@@ -44,7 +44,7 @@
         )
 
     def test_compacted_store_is_read_again(self):
-        """An endpoint left in the gap: the new copy tells so."""
+        """A deletion in the compacted history is found by a full read."""
         self.store.put("servers/a", {})
         self.follower.poll()
         self.store.delete("servers/a")
@@ -55,7 +55,7 @@
         self.assertEqual(["op/config"], self.mirror.list_keys())
 
     def test_end_of_outage_is_recorded(self):
-        """What vanishes right after an outage may only have lapsed."""
+        """The end is needed to tell lapsed entries from removed ones."""
         self.follower.poll()
         self.store.mode = "busy"
         self.assertFalse(self.follower.poll())
@@ -66,7 +66,7 @@
         self.assertEqual(105.0, self.follower.recovered_at)
 
     def test_few_of_a_large_fleet_read_the_store(self):
-        """Of sixty instances eight watch the store; of seven all do."""
+        """Of sixty instances, eight watch the store; of seven, all do."""
         for size, reading in ((60, follower_module.READER_COUNT), (7, 7)):
             names = tuple(f"i{n}" for n in range(size))
             ages = [0.5] * reading + [-1.0] * (size - reading)
@@ -77,10 +77,10 @@
             self.assertEqual(reading, standby_ages.count(None))
 
     def test_all_read_if_too_few_readers_reach_the_store(self):
-        """The store turns the readers away and serves the others.
+        """The store refuses the readers and answers the others.
 
-        Endpoints that leave would go on getting work from instances that
-        wait for news which nobody can tell them.
+        Instances that wait for changes from the readers would keep sending
+        requests to endpoints that have left.
         """
         names = tuple(f"i{n}" for n in range(60))
         ages = [0.5] * (follower_module.MIN_READERS - 1) + [-1.0, 9.0] * 5
@@ -90,7 +90,7 @@
         self.assertEqual([None] * 60, standby_ages)
 
     def test_standby_makes_no_calls_and_resumes_its_watch(self):
-        """Others read for this instance; when they can't, it watches."""
+        """An instance on standby watches the store if the readers fail."""
         self.follower.poll()
         self.standby_age = 1.5
         self.assertTrue(self.follower.check_standby())
@@ -105,12 +105,12 @@
         )
 
     def test_no_standby_before_the_first_read(self):
-        """A started instance knows nothing that news could add to."""
+        """An instance without a copy of the store reads it first."""
         self.standby_age = 1.5
         self.assertFalse(self.follower.check_standby())
 
     def test_all_pages_are_read(self):
-        """More items than one page holds."""
+        """A full read returns more items than one page holds."""
         self.store.page = 2
         for number in range(5):
             self.store.put(f"servers/{number}", {})
@@ -118,7 +118,11 @@
         self.assertEqual(6, len(self.changed_keys))
 
     def test_starting_instance_batches_changes(self):
-        """Two hundred that start ask the store once for each endpoint."""
+        """Guards against a call for each change from each new instance.
+
+        Two hundred starting instances called the store once for each
+        endpoint.
+        """
         self.follower.poll()
         began = self.ticker.now()
         for number in range(4):
@@ -128,7 +132,7 @@
         self.assertGreaterEqual(passed, 4 * 0.5)
 
     def test_later_changes_are_batched_briefly(self):
-        """News of an endpoint that leaves wait as long as after a start."""
+        """Guards against changes delayed for as long as after a start."""
         self.follower.poll()
         self.ticker.advance(follower_module.START_PHASE_SECONDS)
         began = self.ticker.now()
@@ -137,7 +141,7 @@
         self.assertLess(self.ticker.now() - began, 0.5)
 
     def test_standby_retries_less_often(self):
-        """A store that is away is asked by hundreds as often as by eight."""
+        """Guards against hundreds that retry as often as eight readers."""
         asked = {}
         for reader in (True, False):
             self.follower._is_reader = lambda reader=reader: reader
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -1,4 +1,4 @@
-"""How reports go out to a large fleet."""
+"""Sending reports to other instances."""
 
 import gevent
 import testtools
@@ -11,16 +11,16 @@
 
 
 class SendGroupsTest(testtools.TestCase):
-    """Load: sixty instances on links of 10 Mbit/s."""
+    """Groups of reports, for sixty instances on links of 10 Mbit/s."""
 
     def test_reports_are_sent_in_small_groups(self):
-        """A limit refuses callers on a calm day, far below its rate.
+        """Guards against refusals far below a limit.
 
         An instance sends its report to all others at once; its link drops
         what does not fit into its queue, each time the last ones of the
         same order. Those hear of a quarter of the fleet, take themselves
-        for a minority, and use a small part of each limit. So a group is
-        small, and everybody is in one.
+        for a minority, and use a small part of each limit. Groups must be
+        small and together hold all targets.
         """
         targets = [f"10.0.0.{n}:1" for n in range(59)]
         groups = gossip.split_targets(targets)
@@ -29,7 +29,7 @@
         self.assertGreater(len(groups), 4)
 
     def test_last_target_varies(self):
-        """What gets lost all the same hits other instances each time."""
+        """Reports that are lost nevertheless differ in their receivers."""
         targets = [f"10.0.0.{n}:1" for n in range(59)]
         last = {gossip.split_targets(targets)[-1][-1] for _ in range(20)}
         self.assertGreater(len(last), 3)
@@ -40,10 +40,10 @@
 
 
 class DiscoveryTest(testtools.TestCase):
-    """An instance that has started anew, in a small fleet."""
+    """An instance that has just started, in a small fleet."""
 
     def test_new_instance_is_known_at_once(self):
-        """Load: callers come the moment an instance is back.
+        """Callers come as soon as an instance has started.
 
         The new one knows a seed only. The seed answers its first report at
         once and names the third instance, which hears from the new one and
--- a/tests/relay/test_membership.py
+++ b/tests/relay/test_membership.py
@@ -1,4 +1,4 @@
-"""Which instances count, from their reports."""
+"""Membership as derived from reports."""
 
 import testtools
 
@@ -35,29 +35,29 @@
     """One instance's view of the others."""
 
     def setUp(self):
-        """Make the view of an instance that hears of two others."""
+        """Make the view of an instance that got reports of two others."""
         super().setUp()
         self.members = membership.Membership("own", "a")
         self.members.apply_report(make_report("x"), 0.0)
         self.members.apply_report(make_report("yy"), 0.0)
 
     def list_usable(self, now):
-        """Return the names of those that callers are sent to."""
+        """Return the names of the instances that callers may use."""
         return sorted(r.instance for r in self.members.list_usable(now))
 
     def test_silent_instance_gets_no_callers(self):
-        """It was killed: two seconds later nobody is sent there."""
+        """Callers get no address of an instance killed two seconds ago."""
         self.members.apply_report(make_report("x", 2), 2.0)
         self.assertEqual(["x"], self.list_usable(2.5))
 
     def test_leaving_or_unready_instance_gets_no_callers(self):
-        """It says so itself, and is out with its next report."""
+        """Its next report takes it out of the addresses for callers."""
         self.members.apply_report(make_report("x", 2, leaving=True), 0.1)
         self.members.apply_report(make_report("yy", 2, ready=False), 0.1)
         self.assertEqual([], self.list_usable(0.2))
 
     def test_limits_count_silent_instances_for_a_while(self):
-        """A cut instance may still serve callers and use its share."""
+        """A partitioned instance may still serve callers and use limits."""
         self.members.apply_report(make_report("x", 2), 5.0)
         self.assertEqual(("own", "x", "yy"), self.members.list_known(5.0))
         self.assertAlmostEqual(2 / 3, self.members.compute_reach(5.0))
@@ -65,26 +65,26 @@
         self.assertEqual(1.0, self.members.compute_reach(40.0))
 
     def test_one_that_left_does_not_count(self):
-        """It said that it would leave and is silent since."""
+        """An instance that announced its shutdown and is silent is gone."""
         self.members.apply_report(make_report("yy", 2, leaving=True), 0.5)
         self.members.apply_report(make_report("x", 2), 2.0)
         self.assertEqual(1.0, self.members.compute_reach(2.0))
 
     def test_out_of_order_reports(self):
-        """An older report of the same start is not taken."""
+        """An older report of the same incarnation is ignored."""
         self.assertTrue(self.members.apply_report(make_report("x", 5), 1.0))
         self.assertFalse(self.members.apply_report(make_report("x", 4), 1.0))
         again = make_report("x", 1, incarnation="2")
         self.assertTrue(self.members.apply_report(again, 2.0))
 
     def test_late_report_of_an_earlier_incarnation(self):
-        """An envoy still tells of a process that has been started anew."""
+        """A summary may still hold the incarnation before a restart."""
         again = make_report("x", 1, incarnation="2")
         self.assertTrue(self.members.apply_report(again, 2.0))
         self.assertFalse(self.members.apply_report(make_report("x", 9), 1.5))
 
     def test_members_named_by_a_seed(self):
-        """A seed tells of an instance that was not known."""
+        """Members in a seed's report get reports, but no callers yet."""
         told = [
             ("zzz", "1", "10.0.0.3:9", "a"),
             ("own", "1", "10.0.0.9:9", "a"),
@@ -95,11 +95,11 @@
         self.assertNotIn("zzz", self.list_usable(1.0))
 
     def test_silent_instances_still_get_reports(self):
-        """After a cut of a minute both parts find each other again."""
+        """Both parts find each other again after a minute's partition."""
         self.assertEqual(2, len(self.members.list_addresses(60.0)))
 
     def test_a_settled_fleet_names_fewer_members(self):
-        """Names cost bytes between data centres; a new one costs more."""
+        """Names cost bytes; a new instance raises their number again."""
         for number in range(20):
             self.members.apply_report(make_report(f"i{number}"), 0.0)
         self.assertEqual(
--- a/tests/relay/test_messages.py
+++ b/tests/relay/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages that go compressed."""
+"""Compressed messages."""
 
 import zlib
 
@@ -16,10 +16,10 @@
 
 
 class PackedTest(testtools.TestCase):
-    """What a neighbour sends may be broken."""
+    """Valid and invalid data in ``Packed`` messages."""
 
     def test_pack_round_trip(self):
-        """A value of repeated words takes a small part of its size."""
+        """A repetitive value is compressed and restored unchanged."""
         data = messages.pack(HELD)
         self.assertLess(len(data), 1000)
         unpacked = messages.unpack(messages.CODEC.unpack(data))
@@ -29,11 +29,11 @@
         self.assertEqual(9, unpacked.revision)
 
     def test_plain_message_is_returned_as_is(self):
-        """A plain message needs no opening."""
+        """A message that is not compressed is not converted."""
         self.assertIs(HELD, messages.unpack(HELD))
 
     def test_invalid_or_oversized_data(self):
-        """None of them is taken for a message, or fills the memory."""
+        """Invalid data is rejected, and oversized data not expanded."""
         whole = zlib.compress(messages.CODEC.encode(HELD))
         oversized = zlib.compress(bytes(messages.MAX_MESSAGE_BYTES + 1))
         for data in (b"x", whole[:-10], oversized, zlib.compress(b"\xc1")):
--- a/tests/relay/test_mirror.py
+++ b/tests/relay/test_mirror.py
@@ -1,4 +1,4 @@
-"""The copy of the store under changes that overtake each other."""
+"""The local copy of the store under changes that arrive out of order."""
 
 import hypothesis
 from hypothesis import strategies
@@ -16,24 +16,24 @@
 
 
 class MirrorTest(testtools.TestCase):
-    """Reads, watches and neighbours."""
+    """Changes from full reads, watches and other instances."""
 
     def test_full_read_detects_deletions(self):
-        """An item that a later copy lacks was deleted in between."""
+        """An item that a later full read lacks was deleted."""
         mirror = mirror_module.Mirror()
         mirror.replace([make_item("a", 1), make_item("b", 2)], 2)
         news = mirror.replace([make_item("a", 1)], 5)
         self.assertEqual([("b", None)], [(i.key, i.value) for i in news])
 
     def test_outdated_read_is_ignored(self):
-        """A slow answer arrives behind a newer one."""
+        """A full read that began before a later one changes nothing."""
         mirror = mirror_module.Mirror()
         mirror.replace([make_item("a", 4)], 4)
         self.assertEqual([], mirror.replace([make_item("b", 1)], 1))
         self.assertEqual(["a"], mirror.list_keys())
 
     def test_deleted_item_does_not_reappear(self):
-        """A neighbour that is behind tells an item that is gone."""
+        """An outdated item of a deleted key is ignored."""
         mirror = mirror_module.Mirror()
         mirror.apply([make_item("a", 1)], 1)
         mirror.apply([make_item("a", 3, None)], 3)
@@ -41,7 +41,7 @@
         self.assertEqual([], mirror.list_keys())
 
     def test_items_from_a_peer(self):
-        """Changes and deletions come over; an older neighbour is ignored."""
+        """Changes and deletions are merged; an older copy is ignored."""
         mirror = mirror_module.Mirror()
         mirror.apply([make_item("a", 1), make_item("b", 2)], 2)
         news = mirror.merge_peer_items([make_item("c", 4)], {"a", "c"}, 4)
@@ -61,7 +61,7 @@
         strategies.randoms(use_true_random=False),
     )
     def test_order_of_changes_does_not_matter(self, changes, random):
-        """Changes in any order, some told twice, lead to the same copy."""
+        """Changes in any order, some repeated, lead to the same copy."""
         items = [
             make_item(key, revision, b"v" if live else None)
             for revision, (key, live) in enumerate(changes, 1)
--- a/tests/relay/test_pages.py
+++ b/tests/relay/test_pages.py
@@ -1,4 +1,4 @@
-"""The page of operations names what the relay really tells."""
+"""The operations page lists the log events and metrics that exist."""
 
 import dataclasses
 import pathlib
@@ -47,7 +47,7 @@
 
 
 class PagesTest(testtools.TestCase):
-    """Names on the page and in the program are the same."""
+    """Names on the page are those in the code."""
 
     def test_events(self):
         """Each event has a row, and each row is an event."""
@@ -56,9 +56,9 @@
             for value in vars(events).values()
             if dataclasses.is_dataclass(value)
         ]
-        told = {eventlog.get_event_name(kind) for kind in kinds}
+        logged = {eventlog.get_event_name(kind) for kind in kinds}
         self.assertEqual(
-            told, set(re.findall(r"`(\w+)`", read_rows("The lines")))
+            logged, set(re.findall(r"`(\w+)`", read_rows("The lines")))
         )
 
     def test_metrics(self):
@@ -68,9 +68,9 @@
         counts.first["stream"].observe(0.2)
         counts.waits.observe(0.0)
         text = metrics.render(STATE, counts)[0].decode()
-        told = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
+        logged = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
         named = set(re.findall(r"`(citronport_\w+)", read_rows("Metrics")))
-        self.assertEqual(told, named)
+        self.assertEqual(logged, named)
         self.assertIn(
             'first_byte_seconds_bucket{kind="stream",le="0.2"} 1', text
         )
--- a/tests/relay/test_replication.py
+++ b/tests/relay/test_replication.py
@@ -1,4 +1,4 @@
-"""Changes of the store that instances tell one another."""
+"""Replication of changes of the store between instances."""
 
 import gevent
 import testtools
@@ -15,10 +15,10 @@
 
 
 class ReplicationTest(testtools.TestCase):
-    """What a reader of the store tells those that leave it to others."""
+    """A reader of the store, and an instance on standby."""
 
     def setUp(self):
-        """Start a reader and one that rests, in a fleet that is large."""
+        """Start a reader and a standby instance of a large fleet."""
         super().setUp()
         subnet = addresses.choose_subnet(7)
         size = membership.LARGE_FLEET + 5
@@ -43,7 +43,7 @@
                 node.members.apply_report(report, now)
 
     def test_change_is_fetched_at_once(self):
-        """An endpoint starts to leave.
+        """A standby instance learns at once that an endpoint is leaving.
 
         The reader hears of it from the store and tells its part of the
         others, which fetch the change from it: long before the next report
@@ -58,7 +58,7 @@
         self.assertEqual(9, self.standby.mirror.revision)
 
     def test_standby_announces_nothing(self):
-        """Only readers pass news on, so that each comes twice at most."""
+        """Only readers announce, so that each change comes twice at most."""
         item = models.Item(key="servers/a", value=b"{}", revision=9)
         self.standby.mirror.apply([item], 9)
         self.standby.gossip.announce_changes()
@@ -74,8 +74,8 @@
     def test_failed_fetch_is_recorded(self):
         """Another instance is ahead and can't be reached.
 
-        Who looks why a change is late finds how often fetching failed, and
-        for how long this instance has known that it lacks something.
+        The number of failed fetches and the time since another instance was
+        first ahead explain to operators why a change is late.
         """
         now = clock.RuntimeClock().now()
         report = test_membership.make_report(
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance that sends by itself."""
+"""Settings of an instance in relay mode."""
 
 import pathlib
 import tempfile
@@ -25,29 +25,29 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """What the platform's template makes, and what people get wrong."""
+    """Settings made by the platform's template, and common mistakes."""
 
     def read(self, text):
-        """Read a file with a text."""
+        """Read settings from a file with the given text."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "node.yaml"
             path.write_text(text)
             return settings.read_settings(path)
 
     def test_whole(self):
-        """Addresses are parsed; a bound without a value has its default."""
+        """Addresses are parsed; a bound without a value gets its default."""
         found = self.read(TEXT).unwrap()
         self.assertEqual("10.0.0.1:8221", str(found.callers))
         self.assertEqual(2, len(found.seeds))
         self.assertEqual(0.2, found.bounds.retry_ratio)
 
     def test_no_seeds(self):
-        """The only instance has nobody to ask."""
+        """An instance may be the only one."""
         text = TEXT.replace('"10.0.0.1:8229,10.0.0.2:8229"', "")
         self.assertEqual((), self.read(text).unwrap().seeds)
 
     def test_faults_are_told_by_line(self):
-        """Each fault names its line and place."""
+        """Each error names the line and the key."""
         for wrong, place in (
             (TEXT.replace("8221", "eighty"), "line 3: callers"),
             (TEXT + "colour: red\n", "line 14: colour"),
--- a/tests/relay/test_slow_links.py
+++ b/tests/relay/test_slow_links.py
@@ -1,4 +1,4 @@
-"""Large changes of the store on the slow links between instances."""
+"""Transfer of large changes over slow links between instances."""
 
 import contextlib
 import json
@@ -22,27 +22,28 @@
 from tests.relay import test_membership
 
 LINK_BYTES_PER_SECOND = 1_250_000
-"""10 Mbit/s: the link of most instances of a large fleet."""
+"""10 Mbit/s: the links of most instances in a large fleet."""
 
 PIECE_BYTES = 12_500
 
 FETCHERS = 10
-"""Sixty to ninety instances leave the store to eight readers."""
+"""Number of instances that fetch from one reader: in fleets of sixty to ninety
+instances, all but eight readers fetch from these."""
 
 LEAVE_SECONDS = 3.0
-"""Within which a leaving endpoint must get no more work."""
+"""Time within which a leaving endpoint must get no more requests."""
 
 
 class SlowLink:
-    """A link on which all that the target sends shares one rate.
+    """A proxy that limits the total rate at which its target sends.
 
     Args:
-        test: it is closed at this test's end.
-        target: address behind it.
-        rate: bytes a second.
+        test: the test; the link is closed at its end.
+        target: address of the target.
+        rate: rate in bytes a second.
 
     Attributes:
-        address: where others reach the target.
+        address: address at which the link accepts connections.
     """
 
     def __init__(self, test, target, rate=LINK_BYTES_PER_SECOND):
@@ -63,26 +64,26 @@
                     self._throttle(len(data))
                     sock.sendall(data)
             except OSError:
-                # The one that asked has given up.
+                # The client has closed the connection.
                 pass
             finally:
                 asking.kill()
 
     def _throttle(self, size):
-        # Pieces leave in the order in which they came, whosesoever they are.
+        # Pieces of all connections share the link in order of arrival.
         now = time.monotonic()
         self._free_at = max(now, self._free_at) + size / self._rate
         gevent.sleep(self._free_at - now)
 
     def _forward_request(self, sock, behind):
-        # Either side may have given up.
+        # Either side may have closed its connection.
         with contextlib.suppress(OSError):
             while data := sock.recv(PIECE_BYTES):
                 behind.sendall(data)
 
 
 def make_configuration(routes):
-    """Return a configuration with so many routes, as it is stored."""
+    """Return a stored configuration with the given number of routes."""
     drawn = random.Random(1)
 
     def draw(length):
@@ -111,10 +112,10 @@
 
 
 class SlowLinkTest(testtools.TestCase):
-    """Ten instances that leave the store to one reader, on a slow link."""
+    """Ten instances on standby that fetch from one reader on a slow link."""
 
     def setUp(self):
-        """Start a reader and ten others, which know the same so far."""
+        """Start a reader and ten instances on standby, all up to date."""
         super().setUp()
         subnet = addresses.choose_subnet(9)
         self.ticker = clock.RuntimeClock()
@@ -130,7 +131,7 @@
         self.addCleanup(gevent.spawn(self.keep_reporting).kill)
 
     def keep_reporting(self):
-        """Tell all what the reader knows, as its reports do."""
+        """Deliver reports of the reader to all others."""
         while True:
             self.number += 1
             report = test_membership.make_report(
@@ -144,7 +145,7 @@
             gevent.sleep(0.5 * gossip.IDLE_REPORT_SECONDS)
 
     def wait_for(self, key):
-        """Return how many instances know an item when its time is up."""
+        """Return how many instances get an item within ``LEAVE_SECONDS``."""
         end = self.ticker.now() + LEAVE_SECONDS
         while self.ticker.now() < end:
             if all(key in node.changed_keys for node in self.others):
@@ -153,13 +154,14 @@
         return sum(key in node.changed_keys for node in self.others)
 
     def test_leaving_endpoint_is_known_beside_a_large_configuration(self):
-        """An endpoint gets a request 3.5 s after it said that it leaves.
-
-        A configuration of 1,850 routes and the endpoint's word come to the
-        readers of the store in one second, and ten instances fetch both
-        from each reader. Its link took 4 s for ten copies, a fetch of over
-        a second was given up and begun anew, by all in step, and the
-        endpoint's word came with the copy: nobody knew of it after 3 s.
+        """Guards against requests to an endpoint 3.5 s after it is leaving.
+
+        Readers get a configuration of 1,850 routes and the change of the
+        endpoint within one second, and ten instances fetch both from each
+        reader. Ten copies took 4 s on its link, and all instances aborted
+        and restarted fetches that took over a second. As the change of the
+        endpoint was part of the same answer, no instance knew of it after
+        3 s.
         """
         changes = [
             models.Item(
@@ -172,11 +174,11 @@
         self.assertEqual(FETCHERS, self.wait_for("op/config"))
 
     def test_small_changes_do_not_wait_for_a_large_fetch(self):
-        """A request reaches an endpoint that left during a large copy.
+        """Guards against requests to an endpoint that leaves during a fetch.
 
-        Ten instances fetch a value that can't be made smaller; it is on
-        its way for 2.4 s. The endpoint says that it leaves 0.3 s later,
-        which is fetched beside the copy and not after it.
+        Ten instances fetch an incompressible value, which takes 2.4 s. The
+        change of the endpoint follows 0.3 s later; it must be fetched in
+        parallel and not after the large value.
         """
         value = random.Random(1).randbytes(300_000)
         large = models.Item(key="op/config", value=value, revision=8)
@@ -195,10 +197,10 @@
         self.assertEqual([9], sorted({n.mirror.revision for n in self.others}))
 
     def test_slow_fetch_is_not_restarted(self):
-        """A route that was confirmed 5 s ago is not served.
+        """Guards against a route that is not served 5 s after its change.
 
-        The copy comes for longer than another instance may be silent; it
-        goes on, and each instance fetches it once.
+        The fetch takes longer than the timeout for an idle connection. It
+        must continue, so that each instance fetches the value once.
         """
         value = random.Random(1).randbytes(300_000)
         large = models.Item(key="op/config", value=value, revision=8)
@@ -210,16 +212,16 @@
 
 
 class StartTest(testtools.TestCase):
-    """An instance that has just started and reads the whole store."""
+    """An instance that has just started and reads all of the store."""
 
     def test_large_store_is_read_on_a_slow_link(self):
-        """An instance that started again is not ready for 25 s.
+        """Guards against a restarted instance that is not ready for 25 s.
 
-        All lose power and start with nothing. Each reads a store of 600 KB
-        on a link of 10 Mbit/s, of which callers and the other instances
-        take half. An answer that was not whole 0.8 s after the question was
-        thrown away and asked for anew, again and again: the store sent ten
-        times what all copies together hold.
+        After a power failure, all instances start without a copy. Each reads
+        a store of 600 KB over a link of 10 Mbit/s, half of which is taken by
+        callers and other instances. An answer that was incomplete 0.8 s
+        after the call was discarded and requested again, repeatedly: the
+        store sent ten times the size of all copies together.
         """
         store = fakes.Store(self)
         store.put("op/config", make_configuration(1850))
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -1,4 +1,4 @@
-"""How the data centres of a large fleet hear of each other."""
+"""Exchange of reports and summaries in a large fleet."""
 
 import random
 
@@ -11,39 +11,42 @@
 from tests.relay import samples
 
 BOUND_SECONDS = 2.2
-"""Time after which a silent instance has to be out of reach for all."""
+"""Time after which a dead instance has to be out of reach for all others."""
 
 STABLE_SECONDS = 3.0
-"""Time after which an instance that runs has to know what others know."""
+"""Time after which a running instance has to know what others know."""
 
 KNOWN_SECONDS = 2.0
-"""Time until all know a limit, so that a window after the stable time holds
-nothing that was sent without it."""
+"""Time within which all instances have to know a limit. It is shorter than the
+stable time, after which no request may be sent without regard to the limit."""
 
 
 class LargeFleetTest(testtools.TestCase):
     """Sixty instances in six data centres."""
 
     def setUp(self):
-        """Start them all at once; each knows three seeds."""
+        """Start all instances at once; each knows three seeds."""
         super().setUp()
         self.network = networks.Network(60, 6)
         self.nodes = list(self.network.nodes.values())
         self.names = {node.name for node in self.nodes}
 
     def assert_all_in_reach(self, nodes):
-        """Assert that these hear of each other."""
+        """Assert that the given nodes are in reach of each other."""
         names = {node.name for node in nodes}
         for node in nodes:
             self.assertEqual(names - {node.name}, node.list_fresh())
 
     def test_all_in_reach_after_a_start(self):
-        """A fleet that starts together does not stay in pieces."""
+        """Guards against a fleet that stays in parts after a common start."""
         self.network.run(4.0)
         self.assert_all_in_reach(self.nodes)
 
     def test_all_in_reach_though_the_seeds_start_last(self):
-        """Each asks the seeds before they listen, and is alone for long."""
+        """Guards against instances that stay alone after an early start.
+
+        Their first reports reach the seeds before these listen.
+        """
         network = networks.Network(24, 4)
         seeds = {network.nodes[address] for address in network.seeds}
         network.dead = seeds
@@ -56,10 +59,11 @@
         self.assert_all_in_reach(self.nodes)
 
     def test_all_in_reach_soon_after_the_last_start(self):
-        """Two data centres that ask seeds of a third one stay strangers.
+        """Guards against two data centres that do not discover each other.
 
-        Starts are half a second apart, as after a loss of power; until all
-        are known, each instance takes all endpoints for its own.
+        Their seeds are in a third one. Starts are up to half a second apart,
+        as after a power failure. Until the others are known, each instance
+        takes all endpoints for its own.
         """
         draw = random.Random(1)
         starts = {node: draw.uniform(0.0, 0.5) for node in self.nodes}
@@ -75,7 +79,7 @@
         self.assert_all_in_reach(self.nodes)
 
     def test_dead_instance_is_out_of_reach_in_time(self):
-        """Callers and places do not go to one that died seconds ago."""
+        """A dead instance gets no callers and no places after seconds."""
         self.network.run(4.0)
         self.network.dead = {self.nodes[40]}
         self.network.run(BOUND_SECONDS)
@@ -84,7 +88,7 @@
                 self.assertNotIn(self.nodes[40].name, node.list_fresh())
 
     def test_dead_envoys_do_not_isolate_their_data_centre(self):
-        """Both envoys of a data centre die; its others stay in reach."""
+        """If both envoys of a data centre die, its others stay in reach."""
         self.network.run(4.0)
         now = self.network.ticker.now()
         place = self.nodes[0].data_centre
@@ -96,7 +100,7 @@
         self.assert_all_in_reach(alive)
 
     def test_restarted_instance_is_known_by_its_new_incarnation(self):
-        """Rows of the start before do not replace those of the new one."""
+        """Rows of the previous incarnation do not replace later ones."""
         self.network.run(4.0)
         again = self.nodes[20]
         again.start(self.network.seeds)
@@ -107,7 +111,7 @@
         self.assertEqual(again.incarnation, report.incarnation)
 
     def test_all_know_a_request_that_ended_endpoints_elsewhere(self):
-        """Guards against three more ends for each data centre or start."""
+        """Guards against three more crashes for each data centre or start."""
         self.network.run(4.0)
         for number in range(suspects.BAR_THRESHOLD):
             self.nodes[number].suspects.record_crash(
@@ -124,7 +128,10 @@
             self.assertTrue(node.suspects.is_barred("f1", now))
 
     def test_all_know_a_limit_that_an_endpoint_names_elsewhere(self):
-        """Guards against a limit for each data centre, and a late lifting."""
+        """Guards against a limit for each data centre, and a late end.
+
+        All instances must know the limit, and then that it is gone.
+        """
         self.network.run(4.0)
         for rate in (2.5, None):
             now = self.network.ticker.now()
@@ -134,7 +141,7 @@
                 self.assertEqual(rate, node.limits.get_rate("e1"))
 
     def test_halves_rejoin_after_a_partition(self):
-        """Two parts that lost each other for a minute are one again."""
+        """Two parts of a fleet join again after a partition."""
         self.network.run(4.0)
         half = {n.name for n in self.nodes[:30]}
         self.network.is_blocked = lambda a, b: (
@@ -147,7 +154,7 @@
         self.assert_all_in_reach(self.nodes)
 
     def test_isolated_instance_rejoins(self):
-        """An instance that was cut off comes back without a new start."""
+        """An instance rejoins after a partition without a restart."""
         self.network.run(4.0)
         lost = self.nodes[7]
         self.network.is_blocked = lambda a, b: lost in (a, b)
@@ -159,12 +166,14 @@
 
 
 class CostTest(testtools.TestCase):
-    """Load: many instances that all tell of themselves."""
+    """Cost of the exchange in fleets of many instances."""
 
     def measure(self, instances, data_centres):
-        """Return datagrams an instance reads, and bytes between places.
+        """Return the traffic of a fleet whose instances know each other.
 
-        Both a second, in a fleet that knows itself.
+        Returns:
+            The maximum number of datagrams that an instance receives a
+            second, and the number of bytes a second between data centres.
         """
         network = networks.Network(instances, data_centres)
         network.run(4.0)
@@ -172,26 +181,29 @@
             node.received.clear()
         network.cross_bytes = 0
         network.run(2.0)
-        # Seeds read more until no new instance shows up any more.
+        # Seeds receive more until no new instance appears any more.
         nodes = [n for a, n in network.nodes.items() if a not in network.seeds]
         most = max(sum(n.received.values()) for n in nodes)
         return most / 2.0, network.cross_bytes / 2.0
 
     def test_reading_does_not_grow_with_the_fleet(self):
-        """Control that takes a part of a core for each hundred instances."""
+        """Guards against a cost that grows with the number of instances.
+
+        It took a part of a core for each hundred instances.
+        """
         for instances, data_centres in ((24, 4), (72, 6)):
             most, _ = self.measure(instances, data_centres)
             self.assertLess(most, 1.7 * membership.REPORTS_PER_SECOND)
 
     def test_few_bytes_go_between_data_centres(self):
-        """Links between data centres that carry a report of each to each."""
+        """Guards against reports from each instance to each remote one."""
         instances = 72
         _, cross_bytes = self.measure(instances, 6)
         self.assertLess(cross_bytes / instances, 6000)
 
 
 class UsageSumsTest(testtools.TestCase):
-    """Limits that are counted over data centres."""
+    """Usage of limits, summed up by data centre."""
 
     def setUp(self):
         """Make a settled fleet and a workspace with a limit."""
@@ -211,7 +223,7 @@
             self.charge(node, 0.0)
 
     def charge(self, node, units):
-        """Let units pass at an instance."""
+        """Admit units at an instance."""
         self.assertIsNone(
             node.quotas.admit(
                 self.workspace,
@@ -224,18 +236,18 @@
         )
 
     def get_level(self, node):
-        """Return what an instance sees left."""
+        """Return the units left in an instance's view."""
         return node.quotas._buckets["w"].level
 
     def test_what_passes_is_charged_once_everywhere(self):
-        """Two envoys that tell the same would use up a limit twice."""
+        """Guards against units counted twice as both envoys report them."""
         self.charge(self.nodes[5], 4000.0)
         self.network.run(2.0)
         for node in self.nodes:
             self.assertAlmostEqual(6000.0, self.get_level(node), delta=1.0)
 
     def test_change_of_envoys_counts_units_once(self):
-        """An envoy dies while units pass; none counts twice or never."""
+        """An envoy dies while units are admitted; each counts once."""
         near = [n for n in self.nodes if n.data_centre == "dc1"]
         far = next(n for n in self.nodes if n.data_centre == "dc2")
         active, _ = far.quotas._usage._active_envoys["dc1"]
