--- a/citronport/relay/explanation.py
+++ b/citronport/relay/explanation.py
@@ -120,14 +120,14 @@
         request_lines[-1]["at"],
     )
     instance = request_lines[0]["instance"]
-    near = [
+    context = [
         line
         for line in lines
         if line["instance"] == instance
         and line["event"] not in _REQUEST_EVENTS
         and first <= line["at"] <= last
     ]
-    yield from sorted(near, key=lambda line: line["at"])
+    yield from sorted(context, key=lambda line: line["at"])
 
 
 def _render_line(line: Line) -> str:
--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -180,7 +180,7 @@
         """Call the store once; return whether it answered."""
         if self._needs_full_read:
             return self._read_all()
-        asked = self._start_call()
+        started_at = self._start_call()
         match self._store.watch(
             const.PREFIX_ALL,
             self._mirror.revision,
@@ -197,7 +197,7 @@
                 self._needs_full_read = True
                 return True
             case result.Err(reason):
-                self._note_failure(str(reason), asked)
+                self._note_failure(str(reason), started_at)
                 return False
 
     def _read_all(self) -> bool:
@@ -205,13 +205,13 @@
         revision = 0
         after = ""
         while True:
-            asked = self._start_call()
+            started_at = self._start_call()
             match self._store.read(const.PREFIX_ALL, after):
                 case result.Ok(page):
                     items += page.items
                     revision = revision or page.revision
                 case result.Err(reason):
-                    self._note_failure(str(reason), asked)
+                    self._note_failure(str(reason), started_at)
                     return False
             if not page.more or not page.items:
                 break
@@ -259,13 +259,13 @@
             self._failing_since = None
         self.answered_at = now
 
-    def _note_failure(self, reason: str, asked: float) -> None:
+    def _note_failure(self, reason: str, started_at: float) -> None:
         now = self._ticker.now()
         self.failures += 1
         self._log.write(
             events.StoreSilent(
                 reason=reason,
-                seconds=now - asked,
+                seconds=now - started_at,
                 received=self._store.received,
             )
         )
--- a/citronport/relay/replication.py
+++ b/citronport/relay/replication.py
@@ -183,7 +183,7 @@
     def _fetch(
         self, source: messages.Report, *, include_large: bool
     ) -> messages.Held | None:
-        began = self._ticker.now()
+        started_at = self._ticker.now()
         reader = _MessageReader()
         try:
             held = self._request(source.peer_address, include_large, reader)
@@ -193,7 +193,7 @@
                 events.NewsFailed(
                     peer=source.instance,
                     reason=type(error).__name__,
-                    seconds=self._ticker.now() - began,
+                    seconds=self._ticker.now() - started_at,
                     received=reader.received,
                     behind_seconds=self.get_behind_seconds(),
                 )
@@ -217,7 +217,7 @@
                 peer=source.instance,
                 revision=held.revision,
                 items=len(changes),
-                seconds=now - began,
+                seconds=now - started_at,
                 received=reader.received,
             )
         )
--- a/tests/relay/test_membership.py
+++ b/tests/relay/test_membership.py
@@ -85,11 +85,11 @@
 
     def test_members_named_by_a_seed(self):
         """Members in a seed's report get reports, but no callers yet."""
-        told = [
+        members = [
             ("zzz", "1", "10.0.0.3:9", "a"),
             ("own", "1", "10.0.0.9:9", "a"),
         ]
-        self.members.apply_report(make_report("x", 2, members=told), 1.0)
+        self.members.apply_report(make_report("x", 2, members=members), 1.0)
         self.assertIn("10.0.0.3:9", self.members.list_addresses(1.0))
         self.assertNotIn("10.0.0.9:9", self.members.list_addresses(1.0))
         self.assertNotIn("zzz", self.list_usable(1.0))
--- a/tests/relay/test_mirror.py
+++ b/tests/relay/test_mirror.py
@@ -22,8 +22,8 @@
         """An item that a later full read lacks was deleted."""
         mirror = mirror_module.Mirror()
         mirror.replace([make_item("a", 1), make_item("b", 2)], 2)
-        news = mirror.replace([make_item("a", 1)], 5)
-        self.assertEqual([("b", None)], [(i.key, i.value) for i in news])
+        changes = mirror.replace([make_item("a", 1)], 5)
+        self.assertEqual([("b", None)], [(i.key, i.value) for i in changes])
 
     def test_outdated_read_is_ignored(self):
         """A full read that began before a later one changes nothing."""
@@ -44,9 +44,9 @@
         """Changes and deletions are merged; an older copy is ignored."""
         mirror = mirror_module.Mirror()
         mirror.apply([make_item("a", 1), make_item("b", 2)], 2)
-        news = mirror.merge_peer_items([make_item("c", 4)], {"a", "c"}, 4)
+        changes = mirror.merge_peer_items([make_item("c", 4)], {"a", "c"}, 4)
         self.assertEqual(
-            {"b": None, "c": b"v"}, {i.key: i.value for i in news}
+            {"b": None, "c": b"v"}, {i.key: i.value for i in changes}
         )
         self.assertEqual([], mirror.merge_peer_items([], set(), 3))
 
--- a/tests/relay/test_pages.py
+++ b/tests/relay/test_pages.py
@@ -68,9 +68,9 @@
         counts.first["stream"].observe(0.2)
         counts.waits.observe(0.0)
         text = metrics.render(STATE, counts)[0].decode()
-        logged = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
+        rendered = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
         named = set(re.findall(r"`(citronport_\w+)", read_rows("Metrics")))
-        self.assertEqual(logged, named)
+        self.assertEqual(rendered, named)
         self.assertIn(
             'first_byte_seconds_bucket{kind="stream",le="0.2"} 1', text
         )
--- a/tests/relay/test_settings.py
+++ b/tests/relay/test_settings.py
@@ -34,7 +34,7 @@
             path.write_text(text)
             return settings.read_settings(path)
 
-    def test_whole(self):
+    def test_valid_settings(self):
         """Addresses are parsed; a bound without a value gets its default."""
         found = self.read(TEXT).unwrap()
         self.assertEqual("10.0.0.1:8221", str(found.callers))
@@ -46,7 +46,7 @@
         text = TEXT.replace('"10.0.0.1:8229,10.0.0.2:8229"', "")
         self.assertEqual((), self.read(text).unwrap().seeds)
 
-    def test_faults_are_told_by_line(self):
+    def test_errors_name_line_and_key(self):
         """Each error names the line and the key."""
         for wrong, place in (
             (TEXT.replace("8221", "eighty"), "line 3: callers"),
--- a/tests/relay/test_slow_links.py
+++ b/tests/relay/test_slow_links.py
@@ -57,17 +57,17 @@
         self.address = f"127.0.0.1:{server.server_port}"
 
     def _serve(self, sock, _):
-        with sock, socket.create_connection(self._target) as behind:
-            asking = gevent.spawn(self._forward_request, sock, behind)
+        with sock, socket.create_connection(self._target) as target:
+            forwarder = gevent.spawn(self._forward_request, sock, target)
             try:
-                while data := behind.recv(PIECE_BYTES):
+                while data := target.recv(PIECE_BYTES):
                     self._throttle(len(data))
                     sock.sendall(data)
             except OSError:
                 # The client has closed the connection.
                 pass
             finally:
-                asking.kill()
+                forwarder.kill()
 
     def _throttle(self, size):
         # Pieces of all connections share the link in order of arrival.
@@ -75,11 +75,11 @@
         self._free_at = max(now, self._free_at) + size / self._rate
         gevent.sleep(self._free_at - now)
 
-    def _forward_request(self, sock, behind):
+    def _forward_request(self, sock, target):
         # Either side may have closed its connection.
         with contextlib.suppress(OSError):
             while data := sock.recv(PIECE_BYTES):
-                behind.sendall(data)
+                target.sendall(data)
 
 
 def make_configuration(routes):
@@ -226,10 +226,10 @@
         store = fakes.Store(self)
         store.put("op/config", make_configuration(1850))
         link = SlowLink(self, store.address, 0.5 * LINK_BYTES_PER_SECOND)
-        asking = client.Client(
+        store_client = client.Client(
             link.address, follower_module.ANSWER_TIMEOUT_SECONDS
         )
-        self.addCleanup(asking.close)
-        answer = asking.read("")
+        self.addCleanup(store_client.close)
+        answer = store_client.read("")
         self.assertTrue(answer.is_ok(), answer)
         self.assertEqual(["op/config"], [i.key for i in answer.unwrap().items])
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -67,11 +67,11 @@
         """
         draw = random.Random(1)
         starts = {node: draw.uniform(0.0, 0.5) for node in self.nodes}
-        began = self.network.ticker.now()
+        started = self.network.ticker.now()
         self.network.dead = set(self.nodes)
         while self.network.dead:
             for node in list(self.network.dead):
-                if self.network.ticker.now() - began >= starts[node]:
+                if self.network.ticker.now() - started >= starts[node]:
                     self.network.dead.discard(node)
                     node.start(self.network.seeds)
             self.network.run(0.02)
@@ -91,9 +91,9 @@
         """If both envoys of a data centre die, its others stay in reach."""
         self.network.run(4.0)
         now = self.network.ticker.now()
-        place = self.nodes[0].data_centre
-        near = [n for n in self.nodes if n.data_centre == place]
-        envoys = [n for n in near if n.members.choose_summary_targets(now)]
+        data_centre = self.nodes[0].data_centre
+        local = [n for n in self.nodes if n.data_centre == data_centre]
+        envoys = [n for n in local if n.members.choose_summary_targets(now)]
         self.network.dead = set(envoys[: membership.ENVOY_COUNT])
         self.network.run(3.0)
         alive = [n for n in self.nodes if n not in self.network.dead]
@@ -106,8 +106,10 @@
         again.start(self.network.seeds)
         self.network.run(2.0)
         self.assert_all_in_reach(self.nodes)
-        far = next(n for n in self.nodes if n.data_centre != again.data_centre)
-        report = far.members._members[again.name].report
+        remote = next(
+            n for n in self.nodes if n.data_centre != again.data_centre
+        )
+        report = remote.members._members[again.name].report
         self.assertEqual(again.incarnation, report.incarnation)
 
     def test_all_know_a_request_that_ended_endpoints_elsewhere(self):
@@ -239,7 +241,7 @@
         """Return the units left in an instance's view."""
         return node.quotas._buckets["w"].level
 
-    def test_what_passes_is_charged_once_everywhere(self):
+    def test_admitted_units_are_charged_once_everywhere(self):
         """Guards against units counted twice as both envoys report them."""
         self.charge(self.nodes[5], 4000.0)
         self.network.run(2.0)
@@ -248,13 +250,13 @@
 
     def test_change_of_envoys_counts_units_once(self):
         """An envoy dies while units are admitted; each counts once."""
-        near = [n for n in self.nodes if n.data_centre == "dc1"]
-        far = next(n for n in self.nodes if n.data_centre == "dc2")
-        active, _ = far.quotas._usage._active_envoys["dc1"]
-        self.network.dead = {n for n in near if n.name == active}
-        alive = [n for n in near if n not in self.network.dead]
+        local = [n for n in self.nodes if n.data_centre == "dc1"]
+        remote = next(n for n in self.nodes if n.data_centre == "dc2")
+        active, _ = remote.quotas._usage._active_envoys["dc1"]
+        self.network.dead = {n for n in local if n.name == active}
+        alive = [n for n in local if n not in self.network.dead]
         for number in range(8):
             self.charge(alive[number % len(alive)], 500.0)
             self.network.run(0.25)
         self.network.run(2.0)
-        self.assertAlmostEqual(6000.0, self.get_level(far), delta=500.0)
+        self.assertAlmostEqual(6000.0, self.get_level(remote), delta=500.0)
