--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -39,15 +39,16 @@
 BATCH_SECONDS = 0.25
 """Pause after a change before the next watch. Changes come in groups, for
 example when all endpoints register, and a group then costs one call instead
-of one for each change. Changes have to be known within two seconds or more."""
+of one for each change. Bounds on the delay of a change start at two
+seconds."""
 
 START_PHASE_SECONDS = 5.0
 """Time after its start during which an instance counts as starting."""
 
 START_BATCH_SECONDS = 0.8
-"""The same pause for a starting instance. Until the instances of a large fleet
-know the readers, all of them watch the store, and each would call it again
-after each of many changes."""
+"""Pause after a change of a starting instance. Until the instances of a large
+fleet know the readers, all of them watch the store, and each would call it
+again after each of many changes."""
 
 ANSWER_TIMEOUT_SECONDS = 0.8
 """How long the store may send nothing, beyond the time of a watch and within
