--- a/standins/caller.py
+++ b/standins/caller.py
@@ -11,10 +11,10 @@
 from standins import engine
 
 NOT_RUN = "not run"
-LOST_PAUSE_SECONDS = 0.1
+RECONNECT_DELAY_SECONDS = 0.1
 """Pause after a connection that broke without an answer."""
 
-STATUS_ABSENT = 599
+STATUS_NO_LISTENER = 599
 """How the fault proxy says that nobody listens behind it."""
 
 
@@ -97,7 +97,7 @@
     )
 
 
-def ask_code(address: str, key: str) -> int | None:
+def look_up_code(address: str, key: str) -> int | None:
     """Look up; return 0, the refusal's code, or None without an answer."""
     client = _connect(address, 2.0)
     try:
@@ -153,7 +153,7 @@
     }
     try:
         answer = client.request(method, path, encode_body(body), sent)
-        if answer.status_code == STATUS_ABSENT:
+        if answer.status_code == STATUS_NO_LISTENER:
             raise ConnectionRefusedError
         if answer.status_code != 200:
             return _read_refusal(answer, address, started)
@@ -251,17 +251,17 @@
     )
 
 
-def send_patiently(
+def send_until_run(
     address: str,
     key: str,
     path: str,
     body: dict[str, Any],
     *,
-    patience: float = 15.0,
+    retry_seconds: float = 15.0,
     **options: Any,
 ) -> Outcome:
     """Send until a request is taken, as long as "not run" is the answer."""
-    end = time.monotonic() + patience
+    end = time.monotonic() + retry_seconds
     while True:
         outcome = send(address, key, path, body, **options)
         if outcome.ran != NOT_RUN or time.monotonic() > end:
@@ -281,7 +281,7 @@
         self._key = key
         self._addresses = addresses
         self._entries: Entries | None = None
-        self._fresh_until = 0.0
+        self._entries_expire_at = 0.0
 
     def call(
         self,
@@ -311,7 +311,7 @@
             if key is not None and headers is None:
                 # A repeat goes under the first ticket: another one would
                 # make it another request.
-                headers = _make_marks(key, entries.ticket)
+                headers = _make_idempotency_headers(key, entries.ticket)
             last = attempts[-1] if attempts else None
             addresses = (last.go_to if last else ()) or entries.addresses
             outcome = send(
@@ -327,14 +327,14 @@
                 break
             if outcome.ran is None or outcome.retry_after == 0:
                 turn += 1
-                self._fresh_until = 0.0
-            pause = outcome.retry_after or LOST_PAUSE_SECONDS
+                self._entries_expire_at = 0.0
+            pause = outcome.retry_after or RECONNECT_DELAY_SECONDS
             time.sleep(min(pause, max(0.0, end - time.monotonic())))
         return attempts
 
     def _find_entries(self) -> Entries:
         now = time.monotonic()
-        if self._entries is not None and now < self._fresh_until:
+        if self._entries is not None and now < self._entries_expire_at:
             return self._entries
         known = self._entries.addresses if self._entries else ()
         found = self._ask((*known, *self._addresses))
@@ -343,7 +343,7 @@
         first = found.addresses[0]
         found = self._ask((first, *found.addresses[1:], *self._addresses))
         self._entries = found
-        self._fresh_until = now + found.keep_seconds
+        self._entries_expire_at = now + found.keep_seconds
         return found
 
     def _ask(self, addresses: tuple[str, ...]) -> Entries:
@@ -355,7 +355,7 @@
         raise OSError("no entry answers")
 
 
-def _make_marks(key: str, ticket: str) -> dict[str, str]:
+def _make_idempotency_headers(key: str, ticket: str) -> dict[str, str]:
     return {
         "X-Non-Idempotent": "true",
         "Idempotency-Key": key,
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -44,7 +44,7 @@
 STEADY = Phase(name="steady", seconds=6.0, factor=1.0)
 OVERLOAD = Phase(name="overload", seconds=5.0, factor=6.0)
 AFTER = Phase(name="after the overload", seconds=4.0, factor=1.0)
-ABSENCE = Phase(name="a data centre is out", seconds=9.0, factor=1.0)
+OUT_OF_SERVICE = Phase(name="a data centre is out", seconds=9.0, factor=1.0)
 RETURN = Phase(name="it is back", seconds=6.0, factor=1.0)
 
 
@@ -61,7 +61,7 @@
         self, running: processes.Processes, subnet: str, seed: int
     ) -> None:
         self._fleet = fleet.Fleet(demo_loads.make_layout(subnet), running)
-        self._dice = random.Random(seed)
+        self._rng = random.Random(seed)
         self._callers: dict[str, caller.Caller] = {}
         self._tasks = pool.Group()
         self._records: list[demo_figures.Record] = []
@@ -70,49 +70,51 @@
 
     def run(self) -> demo_figures.Figures:
         """Run all phases and return the figures."""
-        self._show("starting 7 entries, the platform and the endpoints")
+        self._print_progress(
+            "starting 7 entries, the platform and the endpoints"
+        )
         self._fleet.start()
         for phase in (WARM_UP, STEADY, OVERLOAD, AFTER):
-            self._offer(phase)
+            self._offer_load(phase)
         left = time.time()
         leaving = demo_loads.LEAVING_DATA_CENTRE
         self._fleet.set_data_centre(leaving, "out")
-        self._offer(ABSENCE)
+        self._offer_load(OUT_OF_SERVICE)
         returned = time.time()
         self._fleet.set_data_centre(leaving, "in")
-        self._offer(RETURN)
-        self._show("waiting for the last answers")
+        self._offer_load(RETURN)
+        self._print_progress("waiting for the last answers")
         self._tasks.join()
-        self._show("stopping")
+        self._print_progress("stopping")
         codes = self._fleet.stop_instances(STOP_SECONDS)
         if any(codes):
-            self._show(f"entries did not end cleanly: {codes}")
+            self._print_progress(f"entries did not end cleanly: {codes}")
         absent = frozenset(
             e["name"]
             for e in self._fleet.endpoints
             if e["data_centre"] == leaving
         )
-        return demo_figures.count(
+        return demo_figures.compute_figures(
             self._records,
             self._fleet.folder,
-            demo_figures.Absence(left=left, returned=returned),
+            demo_figures.OutOfService(left=left, returned=returned),
             absent,
             time.monotonic() - self._started,
         )
 
-    def _offer(self, phase: Phase) -> None:
-        self._show(f"{phase.name}, {phase.seconds:.0f} s")
+    def _offer_load(self, phase: Phase) -> None:
+        self._print_progress(f"{phase.name}, {phase.seconds:.0f} s")
         start = time.monotonic()
         for at, kind in demo_loads.make_arrivals(
-            phase.seconds, phase.factor, self._dice
+            phase.seconds, phase.factor, self._rng
         ):
             gevent.sleep(max(0.0, start + at - time.monotonic()))
             self._number += 1
-            job = demo_loads.make_job(kind, self._number, self._dice)
-            self._tasks.spawn(self._carry_out, job)
+            job = demo_loads.make_job(kind, self._number, self._rng)
+            self._tasks.spawn(self._run_job, job)
         gevent.sleep(max(0.0, start + phase.seconds - time.monotonic()))
 
-    def _carry_out(self, job: demo_loads.Job) -> None:
+    def _run_job(self, job: demo_loads.Job) -> None:
         started = time.monotonic()
         attempts = self._find_caller(job).call(
             job.path,
@@ -131,11 +133,11 @@
     def _find_caller(self, job: demo_loads.Job) -> caller.Caller:
         if job.key not in self._callers:
             addresses = self._fleet.get_callers_addresses()
-            self._dice.shuffle(addresses)
+            self._rng.shuffle(addresses)
             self._callers[job.key] = caller.Caller(job.key, addresses)
         return self._callers[job.key]
 
-    def _show(self, text: str) -> None:
+    def _print_progress(self, text: str) -> None:
         seconds = time.monotonic() - self._started
         answered = sum(r.answered for r in self._records)
         print(
--- a/standins/demo_figures.py
+++ b/standins/demo_figures.py
@@ -13,7 +13,7 @@
 from standins import engine
 from standins import journal
 
-SETTLE_SECONDS = 5.0
+LEAVE_GRACE_SECONDS = 5.0
 """Work may still reach a data centre so long after the order to leave."""
 
 BLOCK_TOKENS = 128
@@ -39,7 +39,7 @@
         return bool(self.attempts) and self.attempts[-1].whole
 
     @property
-    def right(self) -> bool:
+    def correct(self) -> bool:
         """Whether the answer is the one of this job, byte for byte."""
         return self.answered and self.attempts[-1].text == self.job.expected
 
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Absence:
+class OutOfService:
     """When a data centre was out of service, wall clock seconds."""
 
     left: float
@@ -99,11 +99,11 @@
         return broken
 
 
-def count(
+def compute_figures(
     records: list[Record],
     folder: pathlib.Path,
-    absence: Absence,
-    absent: frozenset[str],
+    out_of_service: OutOfService,
+    out_endpoints: frozenset[str],
     seconds: float,
 ) -> Figures:
     """Return the figures of a run.
@@ -111,8 +111,8 @@
     Args:
         records: the jobs.
         folder: where the stand-ins' journals are.
-        absence: when a data centre was out.
-        absent: names of the endpoints in it.
+        out_of_service: when a data centre was out.
+        out_endpoints: names of the endpoints in it.
         seconds: how long the run took.
     """
     lines = [
@@ -122,7 +122,9 @@
         for line in journal.read_lines(path)
     ]
     lines.sort(key=lambda line: line["time"])
-    good = [r for r in records if r.right and r.seconds <= r.job.kind.deadline]
+    good = [
+        r for r in records if r.correct and r.seconds <= r.job.kind.deadline
+    ]
     wasted, total = _count_prefill(records, lines)
     return Figures(
         offered_by_tier=_count_tiers(records),
@@ -131,12 +133,14 @@
         prefill_tokens=total,
         refused_by_code=_count_refusals(records),
         given_up_by_tier=_count_tiers([r for r in records if not r.answered]),
-        given_up_by_end=_count_ends([r for r in records if not r.answered]),
+        given_up_by_end=_count_last_results(
+            [r for r in records if not r.answered]
+        ),
         answers_checked=sum(r.answered for r in records),
-        answers_wrong=sum(r.answered and not r.right for r in records),
+        answers_wrong=sum(r.answered and not r.correct for r in records),
         doubled=_count_doubled(records, lines),
         lost=sum(r.lost for r in records),
-        late_work=_count_late(lines, absence, absent),
+        late_work=_count_late_work(lines, out_of_service, out_endpoints),
         cold_overloads=sum(x["kind"] == "cold_overload" for x in lines),
         seconds=round(seconds, 1),
     )
@@ -154,7 +158,7 @@
     return {str(code): counted[code] for code in sorted(counted)}
 
 
-def _count_ends(records: list[Record]) -> dict[str, int]:
+def _count_last_results(records: list[Record]) -> dict[str, int]:
     """Return how the last attempts ended, by code or else by status."""
     ends = [r.attempts[-1] if r.attempts else None for r in records]
     counted = collections.Counter(
@@ -164,13 +168,13 @@
     return dict(sorted(counted.items()))
 
 
-def _make_mark(job: demo_loads.Job) -> str:
+def _make_job_fingerprint(job: demo_loads.Job) -> str:
     if job.is_service:
         return caller.encode_body(job.body).decode()
     return answers.hash_prompt(engine.make_prompt(job.body))
 
 
-def _read_mark(line: dict[str, Any]) -> str:
+def _read_job_fingerprint(line: dict[str, Any]) -> str:
     return line.get("body") or line["prompt"]
 
 
@@ -180,23 +184,27 @@
     # that ran after "not run" counts as well.
     received = [x for x in lines if x["kind"] == "received"]
     by_id = collections.Counter(x["request"] for x in received)
-    by_mark = collections.Counter(_read_mark(x) for x in received)
+    by_mark = collections.Counter(_read_job_fingerprint(x) for x in received)
     doubled = sum(n - 1 for n in by_id.values())
     for record in records:
         allowed = record.possible_runs
         if record.job.is_service:
             allowed = min(1, allowed)
-        doubled += max(0, by_mark[_make_mark(record.job)] - allowed)
+        doubled += max(0, by_mark[_make_job_fingerprint(record.job)] - allowed)
     return doubled
 
 
-def _count_late(
-    lines: list[dict[str, Any]], absence: Absence, absent: frozenset[str]
+def _count_late_work(
+    lines: list[dict[str, Any]],
+    out_of_service: OutOfService,
+    out_endpoints: frozenset[str],
 ) -> int:
     return sum(
         line["kind"] == "received"
-        and line["by"] in absent
-        and absence.left + SETTLE_SECONDS < line["time"] < absence.returned
+        and line["by"] in out_endpoints
+        and out_of_service.left + LEAVE_GRACE_SECONDS
+        < line["time"]
+        < out_of_service.returned
         for line in lines
     )
 
@@ -210,7 +218,11 @@
     of leading blocks that some engine had prefilled before (whether or not
     it still holds them).
     """
-    jobs = {_make_mark(r.job): r for r in records if not r.job.is_service}
+    jobs = {
+        _make_job_fingerprint(r.job): r
+        for r in records
+        if not r.job.is_service
+    }
     asked: dict[str, Record] = {}
     seen: set[int] = set()
     wasted = total = 0
@@ -231,12 +243,12 @@
         while known < len(blocks) and blocks[known] in seen:
             known += 1
         seen.update(blocks)
-        if not _has_answer_of(record, line["request"]):
+        if not _was_answered_by(record, line["request"]):
             wasted += done
             continue
         wasted += max(0, known * BLOCK_TOKENS - line["cached"])
     return wasted, total
 
 
-def _has_answer_of(record: Record, request_id: str) -> bool:
+def _was_answered_by(record: Record, request_id: str) -> bool:
     return record.answered and record.attempts[-1].answer_id == request_id
--- a/standins/demo_loads.py
+++ b/standins/demo_loads.py
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Kind:
+class WorkKind:
     """One kind of work.
 
     Attributes:
@@ -116,25 +116,25 @@
     user: str
     tier: int
     model: str
-    shared: int = 0
-    own: int = 0
-    output: int = 0
+    shared_prompt_chars: int = 0
+    own_prompt_chars: int = 0
+    output_tokens: int = 0
     deadline: float
     rate: float
 
 
-KINDS = (
-    Kind(
+WORK_KINDS = (
+    WorkKind(
         name="status read",
         user="siam",
         tier=0,
         model="small",
-        own=200,
-        output=6,
+        own_prompt_chars=200,
+        output_tokens=6,
         deadline=6.0,
         rate=10.0,
     ),
-    Kind(
+    WorkKind(
         name="reservation",
         user="siam",
         tier=0,
@@ -142,18 +142,18 @@
         deadline=6.0,
         rate=5.0,
     ),
-    Kind(
+    WorkKind(
         name="farmer answer",
         user="papadakis",
         tier=1,
         model="small",
-        shared=2048,
-        own=300,
-        output=30,
+        shared_prompt_chars=2048,
+        own_prompt_chars=300,
+        output_tokens=30,
         deadline=10.0,
         rate=6.0,
     ),
-    Kind(
+    WorkKind(
         name="claim",
         user="papadakis",
         tier=1,
@@ -161,46 +161,46 @@
         deadline=10.0,
         rate=2.0,
     ),
-    Kind(
+    WorkKind(
         name="drawing tag",
         user="siam",
         tier=2,
         model="small",
-        shared=1024,
-        own=800,
-        output=12,
+        shared_prompt_chars=1024,
+        own_prompt_chars=800,
+        output_tokens=12,
         deadline=12.0,
         rate=3.0,
     ),
-    Kind(
+    WorkKind(
         name="billet trial summary",
         user="siam",
         tier=2,
         model="large",
-        own=8000,
-        output=60,
+        own_prompt_chars=8000,
+        output_tokens=60,
         deadline=15.0,
         rate=1.0,
     ),
-    Kind(
+    WorkKind(
         name="die history review",
         user="siam",
         tier=3,
         model="large",
-        shared=20000,
-        own=16000,
-        output=200,
+        shared_prompt_chars=20000,
+        own_prompt_chars=16000,
+        output_tokens=200,
         deadline=25.0,
         rate=0.6,
     ),
-    Kind(
+    WorkKind(
         name="invoice dossier",
         user="papadakis",
         tier=3,
         model="large",
-        shared=28000,
-        own=6000,
-        output=240,
+        shared_prompt_chars=28000,
+        own_prompt_chars=6000,
+        output_tokens=240,
         deadline=25.0,
         rate=0.6,
     ),
@@ -227,7 +227,7 @@
     """
 
     number: int
-    kind: Kind
+    kind: WorkKind
     workspace: str
     body: dict[str, Any]
     expected: str
@@ -240,7 +240,7 @@
     @property
     def is_service(self) -> bool:
         """Whether it goes to a plain service and may run only once."""
-        return not self.kind.output
+        return not self.kind.output_tokens
 
     @property
     def path(self) -> str:
@@ -266,7 +266,7 @@
         }
         for user, shares in WORKSPACES.items()
         for workspace in shares
-        for tier in sorted({k.tier for k in KINDS if k.user == user})
+        for tier in sorted({k.tier for k in WORK_KINDS if k.user == user})
     )
     return fleet.Layout(
         subnet=subnet,
@@ -278,20 +278,20 @@
     )
 
 
-def make_job(kind: Kind, number: int, dice: random.Random) -> Job:
+def make_job(kind: WorkKind, number: int, rng: random.Random) -> Job:
     """Return a request of a kind from a workspace drawn by its share."""
     shares = WORKSPACES[kind.user]
-    workspace = dice.choices(list(shares), list(shares.values()))[0]
-    if not kind.output:
+    workspace = rng.choices(list(shares), list(shares.values()))[0]
+    if not kind.output_tokens:
         body = {"workspace": workspace, "number": number}
         expected = answers.make_receipt(caller.encode_body(body))
     else:
         # A die history or a season of receipts is asked about again and
         # again: a workspace has three, each a prefix of many prompts.
-        subject = f"{workspace} {kind.name} {dice.randrange(3)}"
-        prompt = _fill(subject, kind.shared)
-        prompt += _fill(f"job {number}", kind.own)
-        body = caller.make_chat(kind.model, prompt, kind.output)
+        subject = f"{workspace} {kind.name} {rng.randrange(3)}"
+        prompt = _repeat_text(subject, kind.shared_prompt_chars)
+        prompt += _repeat_text(f"job {number}", kind.own_prompt_chars)
+        body = caller.make_chat(kind.model, prompt, kind.output_tokens)
         expected = caller.make_expected(body)
     return Job(
         number=number,
@@ -303,15 +303,15 @@
 
 
 def make_arrivals(
-    seconds: float, factor: float, dice: random.Random
-) -> collections.abc.Iterator[tuple[float, Kind]]:
+    seconds: float, factor: float, rng: random.Random
+) -> collections.abc.Iterator[tuple[float, WorkKind]]:
     """Yield arrivals in order: seconds from the start, and the kind."""
-    rates = [kind.rate * factor for kind in KINDS]
-    now = dice.expovariate(sum(rates))
+    rates = [kind.rate * factor for kind in WORK_KINDS]
+    now = rng.expovariate(sum(rates))
     while now < seconds:
-        yield now, dice.choices(KINDS, rates)[0]
-        now += dice.expovariate(sum(rates))
+        yield now, rng.choices(WORK_KINDS, rates)[0]
+        now += rng.expovariate(sum(rates))
 
 
-def _fill(text: str, length: int) -> str:
+def _repeat_text(text: str, length: int) -> str:
     return (f"{text}; " * (length // (len(text) + 2) + 1))[:length]
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -19,7 +19,7 @@
 from standins import journal
 from standins import listener
 
-TAG_CHARS = 24
+PROMPT_TAG_CHARS = 24
 """The end of a prompt, by which a request is told from others."""
 
 
@@ -52,39 +52,39 @@
     not end at once: its stream can be taken up again from an offset.
     """
 
-    def __init__(self, shape: Shape, notes: journal.Journal) -> None:
+    def __init__(self, shape: Shape, request_journal: journal.Journal) -> None:
         self.shape = shape
-        self._notes = notes
+        self._journal = request_journal
         self._start = secrets.token_hex(8)
         self._cache = engine_cache.Cache(
             shape.cache_tokens, shape.cache_gap_every
         )
         self._prefill = lock.Semaphore(1)
         self._batch = lock.Semaphore(shape.batch)
-        self._slow = 1.0
+        self._slow_factor = 1.0
         self._running: dict[str, int] = {}
         self._received = 0
         self._streams: dict[str, engine_stream.Stream] = {}
-        self._life = 0
+        self._generation = 0
         self._reports: collections.deque[tuple[float, dict[str, Any]]] = (
             collections.deque(maxlen=200)
         )
-        self.turn_cold()
+        self.restart_cold()
 
-    def turn_cold(self) -> None:
+    def restart_cold(self) -> None:
         """Start over: empty cache, cold."""
-        self._life += 1
-        self._born = time.monotonic()
-        self._done_cold = 0
+        self._generation += 1
+        self._started_at = time.monotonic()
+        self._finished_since_start = 0
         self._cache.clear()
         self._running.clear()
-        self._notes.add("start", life=self._life)
+        self._journal.add("start", life=self._generation)
 
     @property
     def cold(self) -> bool:
         """Whether it is in cold start."""
-        young = time.monotonic() - self._born < self.shape.cold_seconds
-        return young or self._done_cold < self.shape.cold_requests
+        young = time.monotonic() - self._started_at < self.shape.cold_seconds
+        return young or self._finished_since_start < self.shape.cold_requests
 
     def __call__(self, environ, start_response):  # noqa: ANN001, ANN204
         """Answer one HTTP request."""
@@ -96,25 +96,27 @@
         }
         match environ["PATH_INFO"]:
             case "/load":
-                return _answer(start_response, self._report(query))
+                return _respond_json(
+                    start_response, self._make_load_report(query)
+                )
             case "/cancel":
                 self._cancel(query["id"])
-                return _answer(start_response, {})
+                return _respond_json(start_response, {})
             case "/resume":
                 return self._resume(query, start_response)
             case "/admin/cold":
-                self.turn_cold()
-                return _answer(start_response, {})
+                self.restart_cold()
+                return _respond_json(start_response, {})
             case "/admin/slow":
-                self._slow = float(query["factor"])
-                return _answer(start_response, {})
+                self._slow_factor = float(query["factor"])
+                return _respond_json(start_response, {})
             case "/admin/cut":
                 for stream in self._streams.values():
-                    stream.cut()
-                return _answer(start_response, {})
-        return self._complete(environ, start_response)
+                    stream.disconnect_readers()
+                return _respond_json(start_response, {})
+        return self._serve_completion(environ, start_response)
 
-    def _report(self, query: dict[str, str]) -> dict[str, Any]:
+    def _make_load_report(self, query: dict[str, str]) -> dict[str, Any]:
         now = time.monotonic()
         current = {
             "start": self._start,
@@ -138,18 +140,18 @@
         if stream is not None:
             stream.cancel()
 
-    def _complete(self, environ, start_response):  # noqa: ANN001, ANN202
+    def _serve_completion(self, environ, start_response):  # noqa: ANN001, ANN202
         body = json.loads(environ["wsgi.input"].read())
         request_id = environ.get("HTTP_X_REQUEST_ID", "none")
         parent = environ.get("HTTP_TRACEPARENT")
         if parent is not None:
-            self._notes.add("traced", request=request_id, parent=parent)
+            self._journal.add("traced", request=request_id, parent=parent)
         stream = engine_stream.Stream(request_id)
         self._streams[request_id] = stream
-        stream.run(self._work, stream, body)
+        stream.run(self._produce_answer, stream, body)
         if body.get("stream"):
-            return self._hand_out(stream, 0, start_response)
-        return _answer(start_response, json.loads(stream.read_whole()))
+            return self._stream_response(stream, 0, start_response)
+        return _respond_json(start_response, json.loads(stream.read_whole()))
 
     def _resume(self, query, start_response):  # noqa: ANN001, ANN202
         stream = self._streams.get(query["id"])
@@ -157,9 +159,9 @@
         if stream is None or offset > stream.size:
             start_response("404 Unknown", [("Content-Length", "0")])
             return []
-        return self._hand_out(stream, offset, start_response)
+        return self._stream_response(stream, offset, start_response)
 
-    def _hand_out(self, stream, offset, start_response):  # noqa: ANN001, ANN202
+    def _stream_response(self, stream, offset, start_response):  # noqa: ANN001, ANN202
         start_response(
             "200 OK",
             [
@@ -171,23 +173,27 @@
         )
         return stream.read(offset, self.shape.keep_seconds)
 
-    def _work(self, stream: engine_stream.Stream, body: dict) -> None:
+    def _produce_answer(
+        self, stream: engine_stream.Stream, body: dict
+    ) -> None:
         request_id = stream.request_id
         prompt = make_prompt(body)
         count = body.get("max_completion_tokens") or body.get("max_tokens", 16)
         texts = []
         for token in self._generate(stream, body, prompt, count):
             if body.get("stream"):
-                event = _event(request_id, body, {"content": token}, None)
+                event = _encode_chunk(
+                    request_id, body, {"content": token}, None
+                )
                 stream.add(event)
             else:
                 texts.append(token)
         usage = _make_usage(prompt, count, stream.cached)
         if body.get("stream"):
-            stream.add(_event(request_id, body, {}, "stop", usage))
+            stream.add(_encode_chunk(request_id, body, {}, "stop", usage))
             stream.add(b"data: [DONE]\n\n")
         else:
-            whole = _whole(request_id, body, "".join(texts), usage)
+            whole = _make_completion(request_id, body, "".join(texts), usage)
             stream.add(json.dumps(whole).encode())
         stream.finish()
         gevent.spawn_later(
@@ -201,72 +207,72 @@
         prompt: str,
         count: int,
     ) -> collections.abc.Iterator[str]:
-        life = self._life
+        generation = self._generation
         request_id = stream.request_id
         tokens = max(1, len(prompt) // 4)
         finished = False
         try:
-            self._receive(request_id, prompt, tokens)
+            self._admit(request_id, prompt, tokens)
             with self._batch:
                 stream.cached = self._prefill_prompt(
                     request_id, body["model"], prompt, tokens
                 )
                 for token in answers.make_tokens(prompt, count):
-                    self._check_alive(life)
+                    self._check_generation(generation)
                     gevent.sleep(self._decode_seconds())
                     yield token
             finished = True
         finally:
             if not finished:
                 self._streams.pop(request_id, None)
-            if life == self._life:
+            if generation == self._generation:
                 self._running.pop(request_id, None)
-                self._done_cold += finished
+                self._finished_since_start += finished
             kind = "finished" if finished else "stopped"
-            self._notes.add(kind, request=request_id, output=count)
+            self._journal.add(kind, request=request_id, output=count)
 
-    def _receive(self, request_id: str, prompt: str, tokens: int) -> None:
+    def _admit(self, request_id: str, prompt: str, tokens: int) -> None:
         self._received += 1
         self._running[request_id] = tokens
         cold = self.cold
-        self._notes.add(
+        self._journal.add(
             "received",
             request=request_id,
             prompt=answers.hash_prompt(prompt),
             cold=cold,
             running=len(self._running),
             prompt_tokens=tokens,
-            tag=prompt[-TAG_CHARS:],
+            tag=prompt[-PROMPT_TAG_CHARS:],
         )
         over = len(self._running) > self.shape.cold_concurrency or (
             sum(self._running.values()) > self.shape.cold_prompt_tokens
         )
         if cold and over:
-            self._notes.add("cold_overload", request=request_id)
-            self.turn_cold()
+            self._journal.add("cold_overload", request=request_id)
+            self.restart_cold()
             raise FellOverError
 
-    def _check_alive(self, life: int) -> None:
-        if life != self._life:
+    def _check_generation(self, generation: int) -> None:
+        if generation != self._generation:
             raise FellOverError
 
     def _prefill_prompt(
         self, request_id: str, model: str, prompt: str, tokens: int
     ) -> int:
         blocks = chat_models.hash_prefix(model, prompt)
-        cached = min(tokens, self._cache.count_known(blocks))
+        cached = min(tokens, self._cache.count_cached_tokens(blocks))
         with self._prefill:
             work = (tokens - cached) / self.shape.prefill_rate
-            gevent.sleep(work * self._slow * (4 if self.cold else 1))
+            gevent.sleep(work * self._slow_factor * (4 if self.cold else 1))
         self._cache.add(blocks)
-        self._notes.add(
+        self._journal.add(
             "prefilled", request=request_id, tokens=tokens, cached=cached
         )
         return cached
 
     def _decode_seconds(self) -> float:
         share = 1 + 0.05 * max(0, len(self._running) - 1)
-        return self._slow * share / self.shape.decode_rate
+        return self._slow_factor * share / self.shape.decode_rate
 
 
 def make_prompt(body: dict[str, Any]) -> str:
@@ -285,7 +291,7 @@
     }
 
 
-def _event(
+def _encode_chunk(
     request_id: str,
     body: dict,
     delta: dict,
@@ -304,7 +310,7 @@
     return b"data: " + json.dumps(chunk).encode() + b"\n\n"
 
 
-def _whole(
+def _make_completion(
     request_id: str, body: dict, text: str, usage: dict
 ) -> dict[str, Any]:
     message = {"role": "assistant", "content": text}
@@ -318,7 +324,7 @@
     }
 
 
-def _answer(start_response, body: dict) -> list[bytes]:  # noqa: ANN001
+def _respond_json(start_response, body: dict) -> list[bytes]:  # noqa: ANN001
     data = json.dumps(body).encode()
     start_response(
         "200 OK",
--- a/standins/engine_cache.py
+++ b/standins/engine_cache.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 BLOCK_TOKENS = 128
-KEPT_EVENTS = 256
+MAX_EVENTS = 256
 
 
 class Cache:
@@ -24,7 +24,7 @@
         )
         self._number = 0
         self._events: collections.deque[tuple[float, dict[str, Any]]] = (
-            collections.deque(maxlen=KEPT_EVENTS)
+            collections.deque(maxlen=MAX_EVENTS)
         )
 
     def clear(self) -> None:
@@ -32,7 +32,7 @@
         self._blocks.clear()
         self._number += 1
 
-    def count_known(self, blocks: tuple[int, ...]) -> int:
+    def count_cached_tokens(self, blocks: tuple[int, ...]) -> int:
         """Return the tokens of the leading blocks that are held."""
         known = 0
         for block in blocks:
--- a/standins/engine_stream.py
+++ b/standins/engine_stream.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent import event
 
-CHECK_SECONDS = 0.5
+READER_CHECK_SECONDS = 0.5
 
 
 class CutError(Exception):
@@ -23,7 +23,7 @@
         self._finished = False
         self._task: gevent.Greenlet | None = None
         self._readers = 0
-        self._cuts = 0
+        self._disconnects = 0
         self._changed = event.Event()
 
     @property
@@ -51,9 +51,9 @@
         if self._task is not None:
             self._task.kill()
 
-    def cut(self) -> None:
+    def disconnect_readers(self) -> None:
         """End the connections that read it, but not the work."""
-        self._cuts += 1
+        self._disconnects += 1
         self._changed.set()
 
     def read_whole(self) -> bytes:
@@ -77,11 +77,11 @@
             offset: bytes to leave out.
             keep_seconds: how long the work goes on without a reader.
         """
-        cuts = self._cuts
+        cuts = self._disconnects
         self._readers += 1
         try:
             while True:
-                if cuts != self._cuts:
+                if cuts != self._disconnects:
                     raise CutError
                 data = bytes(self._data[offset:])
                 offset += len(data)
@@ -97,11 +97,13 @@
         finally:
             self._readers -= 1
             if not self._readers and not self._finished:
-                gevent.spawn(self._give_up, time.monotonic() + keep_seconds)
+                gevent.spawn(
+                    self._cancel_unread, time.monotonic() + keep_seconds
+                )
 
-    def _give_up(self, end: float) -> None:
+    def _cancel_unread(self, end: float) -> None:
         while not self._readers and not self._finished:
             if time.monotonic() > end:
                 self.cancel()
                 return
-            gevent.sleep(CHECK_SECONDS)
+            gevent.sleep(READER_CHECK_SECONDS)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -141,7 +141,7 @@
             **listeners,
             "platform": [
                 {
-                    "address": self.publish_address(self.platform),
+                    "address": self.get_published_address(self.platform),
                     "port": PLATFORM_PORT,
                 }
             ],
@@ -157,7 +157,7 @@
         """Start the process of an instance."""
         self.running.start(name, "citronport", "serve", settings_file)
 
-    def publish_address(self, address: str) -> str:
+    def get_published_address(self, address: str) -> str:
         """Return the address under which others reach an address."""
         return address
 
@@ -168,14 +168,16 @@
             "version": self.versions[PATH_CATALOGUE],
             "key_salt": KEY_SALT,
             "data_centres": self.data_centres,
-            "endpoints": [self._publish(e) for e in self.endpoints],
-            "entries": [_hide_key(e) for e in self.entries],
+            "endpoints": [
+                self._with_published_address(e) for e in self.endpoints
+            ],
+            "entries": [_replace_key_by_hash(e) for e in self.entries],
         }
         text = yaml.safe_dump(catalogue)
         self._catalogues.append(text)
         self._put(PATH_CATALOGUE, text)
 
-    def publish_older(self) -> None:
+    def republish_previous_catalogue(self) -> None:
         """Publish the catalogue before the last one, as a fault would."""
         version = len(self._catalogues) - 1
         _post(
@@ -190,7 +192,9 @@
         self.versions[PATH_INSTANCES] += 1
         listed = {
             "version": self.versions[PATH_INSTANCES],
-            "instances": [self._publish(i) for i in self.instances],
+            "instances": [
+                self._with_published_address(i) for i in self.instances
+            ],
         }
         self._put(PATH_INSTANCES, yaml.safe_dump(listed))
 
@@ -205,7 +209,7 @@
         """Take the platform down, make it stale, or bring it up."""
         _post(self.platform, PLATFORM_PORT, f"/admin/mode?mode={mode}", "")
 
-    def order_engine(self, name: str, path: str) -> None:
+    def post_to_engine(self, name: str, path: str) -> None:
         """Give an engine's stand-in an order, past all links."""
         found = next(e for e in self.endpoints if e["name"] == name)
         _post(found["address"], ENDPOINT_PORT, path, "")
@@ -221,12 +225,12 @@
     def get_callers_addresses(self) -> list[str]:
         """Return where callers may connect."""
         return [
-            f"{self.publish_address(i['address'])}:{CALLER_PORT}"
+            f"{self.get_published_address(i['address'])}:{CALLER_PORT}"
             for i in self.instances
         ]
 
-    def _publish(self, item: dict[str, Any]) -> dict[str, Any]:
-        return {**item, "address": self.publish_address(item["address"])}
+    def _with_published_address(self, item: dict[str, Any]) -> dict[str, Any]:
+        return {**item, "address": self.get_published_address(item["address"])}
 
     def _put(self, path: str, value: str) -> None:
         query = f"path={path}&version={self.versions[path]}"
@@ -290,7 +294,7 @@
     client.close()
 
 
-def _hide_key(entry: dict[str, Any]) -> dict[str, Any]:
+def _replace_key_by_hash(entry: dict[str, Any]) -> dict[str, Any]:
     shown = {k: v for k, v in entry.items() if k != "key"}
     shown["key_sha256"] = catalogue_models.hash_key(KEY_SALT, entry["key"])
     return shown
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -24,8 +24,8 @@
     brings it back. Every other call counts as a read.
     """
 
-    def __init__(self, notes: journal.Journal) -> None:
-        self._notes = notes
+    def __init__(self, request_journal: journal.Journal) -> None:
+        self._journal = request_journal
         self._values: dict[str, tuple[int, str]] = {}
         self._stale: dict[str, tuple[int, str]] = {}
         self._mode = UP
@@ -37,14 +37,14 @@
         query = urllib.parse.parse_qs(environ["QUERY_STRING"])
         path = environ["PATH_INFO"]
         if path.startswith("/admin/"):
-            return self._order(path, query, environ, start_response)
+            return self._serve_admin(path, query, environ, start_response)
         self.reads += 1
         if self._mode == DOWN:
             start_response("503 Down", [("Content-Length", "0")])
             return []
         after = int(query["after"][0])
         wait = float(query["wait"][0])
-        found = self._wait_for(path, after, wait)
+        found = self._wait_for_value(path, after, wait)
         if found is None:
             start_response("304 Not Modified", [])
             return []
@@ -52,7 +52,7 @@
         start_response("200 OK", [("Content-Length", str(len(body)))])
         return [body]
 
-    def _wait_for(
+    def _wait_for_value(
         self, path: str, after: int, wait: float
     ) -> tuple[int, str] | None:
         end = time.monotonic() + wait
@@ -66,16 +66,16 @@
                 return None
             self._changed.wait(left)
 
-    def _order(self, path, query, environ, start_response):  # noqa: ANN001, ANN202
+    def _serve_admin(self, path, query, environ, start_response):  # noqa: ANN001, ANN202
         if path == "/admin/put":
             body = environ["wsgi.input"].read().decode()
             version = int(query["version"][0])
             self._values[query["path"][0]] = (version, body)
-            self._notes.add("put", path=query["path"][0], version=version)
+            self._journal.add("put", path=query["path"][0], version=version)
         elif path == "/admin/mode":
             self._mode = query["mode"][0]
             self._stale = dict(self._values)
-            self._notes.add("mode", mode=self._mode)
+            self._journal.add("mode", mode=self._mode)
         self._changed.set()
         gevent.sleep(0)
         self._changed.clear()
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -18,14 +18,14 @@
 from gevent import socket
 
 READ_BYTES = 65536
-CONNECT_SECONDS = 5.0
-REFUSE_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 5.0
+REPLY_TIMEOUT_SECONDS = 1.0
 
 _Address = tuple[str, int]
 _Accept = collections.abc.Callable[[socket.socket, _Address], None]
 
 
-LOAD_REQUEST = b"GET /load"
+LOAD_REQUEST_PREFIX = b"GET /load"
 
 
 class How(enum.StrEnum):
@@ -85,9 +85,9 @@
         self._changed = event.Event()
         self._listeners: dict[str, list[tuple[_Address, _Accept]]] = {}
         self._servers: dict[_Address, gevent_server.StreamServer] = {}
-        self._open: set[_Connection] = set()
+        self._connections: set[_Connection] = set()
 
-    def name_source(self, address: str, name: str) -> None:
+    def register_source(self, address: str, name: str) -> None:
         """Tell which node's connections come from an IP number."""
         self._sources[address] = name
 
@@ -95,33 +95,37 @@
         self,
         address: _Address,
         target: str,
-        real: _Address,
-        absent: bytes = b"",
+        real_address: _Address,
+        no_listener_reply: bytes = b"",
     ) -> None:
         """Stand for a target's address.
 
         Args:
             address: where to listen.
             target: name of the node.
-            real: where the node listens.
-            absent: sent when the node does not listen. The kernel has
-                taken the connection by then and can refuse it no more.
+            real_address: where the node listens.
+            no_listener_reply: sent when the node does not listen. The
+                kernel has taken the connection by then and can refuse it
+                no more.
         """
 
         def accept(sock: socket.socket, peer: _Address) -> None:
             source = self._sources.get(peer[0], "callers")
-            self._serve(_Connection(sock, source, target, absent), real)
+            self._serve(
+                _Connection(sock, source, target, no_listener_reply),
+                real_address,
+            )
 
         self._listeners.setdefault(target, []).append((address, accept))
-        self.open(target)
+        self.start_listening(target)
 
-    def shut(self, target: str) -> None:
+    def stop_listening(self, target: str) -> None:
         """Refuse connections, as the address of a dead process does."""
         for address, _ in self._listeners.get(target, ()):
             if address in self._servers:
                 self._servers.pop(address).stop(timeout=0)
 
-    def open(self, target: str) -> None:
+    def start_listening(self, target: str) -> None:
         """Listen for a target."""
         for address, accept in self._listeners.get(target, ()):
             if address not in self._servers:
@@ -129,93 +133,97 @@
                 server.start()
                 self._servers[address] = server
 
-    def strike(self, source: str, target: str, fault: Fault) -> None:
+    def inject_fault(self, source: str, target: str, fault: Fault) -> None:
         """Put a fault on the connections from a source to a target."""
         self._faults[source, target] = fault
-        for connection in list(self._open):
+        for connection in list(self._connections):
             same = (connection.source, connection.target) == (source, target)
             if same and self._random.random() < fault.share:
-                connection.take(fault)
-        self._wake()
+                connection.apply_fault(fault)
+        self._notify_changed()
 
     def heal(self, chosen: collections.abc.Callable[[str, str], bool]) -> None:
         """Take the faults off the chosen (source, target) pairs."""
         for pair in [p for p in self._faults if chosen(*p)]:
             del self._faults[pair]
-        for connection in list(self._open):
+        for connection in list(self._connections):
             if chosen(connection.source, connection.target):
-                connection.recover()
-        self._wake()
+                connection.clear_fault()
+        self._notify_changed()
 
     def stop(self) -> None:
         """Close everything."""
         for target in self._listeners:
-            self.shut(target)
-        for connection in list(self._open):
+            self.stop_listening(target)
+        for connection in list(self._connections):
             connection.reset()
 
-    def _wake(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed.clear()
 
-    def _serve(self, connection: "_Connection", real: _Address) -> None:
+    def _serve(
+        self, connection: "_Connection", real_address: _Address
+    ) -> None:
         fault = self._faults.get((connection.source, connection.target))
         if fault and self._random.random() < fault.share:
             connection.fault = fault
-        self._open.add(connection)
+        self._connections.add(connection)
         try:
-            self._open_far_side(connection, real)
+            self._connect_upstream(connection, real_address)
             back = gevent.spawn(self._pump, connection, False)
             self._pump(connection, True)
             back.join()
         finally:
-            self._open.discard(connection)
+            self._connections.discard(connection)
             connection.close()
 
-    def _open_far_side(
-        self, connection: "_Connection", real: _Address
+    def _connect_upstream(
+        self, connection: "_Connection", real_address: _Address
     ) -> None:
         fault = connection.fault
         if fault and fault.how in (How.RESET, How.CLOSE):
-            connection.take(fault)
+            connection.apply_fault(fault)
             return
         if fault and fault.how == How.REORDER:
             gevent.sleep(self._random.uniform(0, fault.seconds))
-        self._wait_passable(connection, True)
+        self._wait_while_held(connection, True)
         try:
-            connection.far = socket.create_connection(real, CONNECT_SECONDS)
-            connection.far.settimeout(None)
+            connection.upstream = socket.create_connection(
+                real_address, CONNECT_TIMEOUT_SECONDS
+            )
+            connection.upstream.settimeout(None)
         except ConnectionRefusedError:
-            connection.refuse()
+            connection.reply_no_listener()
         except OSError:
             connection.reset()
 
-    def _pump(self, connection: "_Connection", outward: bool) -> None:
+    def _pump(self, connection: "_Connection", to_target: bool) -> None:
         try:
             while True:
-                data = connection.get_end(outward).recv(READ_BYTES)
-                self._wait_passable(connection, outward)
-                self._pass(connection, outward, data)
+                data = connection.get_socket(to_target).recv(READ_BYTES)
+                self._wait_while_held(connection, to_target)
+                self._forward(connection, to_target, data)
                 if not data:
                     return
         except (OSError, AttributeError):
             # A reset of one side reaches the other one, but for the pair
             # whose halves were parted on purpose.
-            if not connection.parted:
-                self._wait_passable(connection, outward)
+            if not connection.is_half_open:
+                self._wait_while_held(connection, to_target)
                 connection.reset()
 
-    def _pass(
-        self, connection: "_Connection", outward: bool, data: bytes
+    def _forward(
+        self, connection: "_Connection", to_target: bool, data: bytes
     ) -> None:
-        end = connection.get_end(not outward)
+        end = connection.get_socket(not to_target)
         if not data:
             end.shutdown(socket.SHUT_WR)
             return
         fault = connection.fault
-        if outward:
-            connection.is_report = data.startswith(LOAD_REQUEST)
-        elif connection.cuts_answer(data, end):
+        if to_target:
+            connection.is_report = data.startswith(LOAD_REQUEST_PREFIX)
+        elif connection.cut_answer(data, end):
             return
         if fault and fault.how == How.DELAY:
             gevent.sleep(fault.seconds)
@@ -226,40 +234,46 @@
             return
         end.sendall(data)
 
-    def _wait_passable(self, connection: "_Connection", outward: bool) -> None:
-        while connection.holds(outward):
+    def _wait_while_held(
+        self, connection: "_Connection", to_target: bool
+    ) -> None:
+        while connection.is_held(to_target):
             self._changed.wait()
 
 
 class _Connection:
     def __init__(
-        self, near: socket.socket, source: str, target: str, absent: bytes
+        self,
+        downstream: socket.socket,
+        source: str,
+        target: str,
+        no_listener_reply: bytes,
     ) -> None:
-        self.near = near
-        self.absent = absent
-        self.far: socket.socket | None = None
+        self.downstream = downstream
+        self.no_listener_reply = no_listener_reply
+        self.upstream: socket.socket | None = None
         self.source = source
         self.target = target
         self.fault: Fault | None = None
-        self.parted = False
+        self.is_half_open = False
         self.is_report = False
-        self._answered = 0
+        self._answer_bytes = 0
 
-    def get_end(self, near: bool) -> socket.socket:
+    def get_socket(self, downstream: bool) -> socket.socket:
         """Return the side that data comes from."""
-        end = self.near if near else self.far
+        end = self.downstream if downstream else self.upstream
         if end is None:
             raise OSError("not connected")
         return end
 
-    def holds(self, outward: bool) -> bool:
+    def is_held(self, to_target: bool) -> bool:
         """Return whether data of a direction must wait."""
-        if self.parted:
+        if self.is_half_open:
             return True
         how = self.fault.how if self.fault else None
-        return how == How.HOLD or (how == How.HOLD_ANSWERS and not outward)
+        return how == How.HOLD or (how == How.HOLD_ANSWERS and not to_target)
 
-    def cuts_answer(self, data: bytes, end: socket.socket) -> bool:
+    def cut_answer(self, data: bytes, end: socket.socket) -> bool:
         """End the connection if its answer is to be cut in this piece."""
         how = self.fault.how if self.fault else None
         # A report that is lost ends the endpoint's service: whether a call
@@ -267,14 +281,14 @@
         if how == How.LOSE_ANSWERS and not self.is_report:
             self.reset()
             return True
-        self._answered += len(data)
-        if how != How.CUT_ANSWERS or self._answered <= self.fault.size:
+        self._answer_bytes += len(data)
+        if how != How.CUT_ANSWERS or self._answer_bytes <= self.fault.size:
             return False
-        end.sendall(data[: len(data) - (self._answered - self.fault.size)])
+        end.sendall(data[: len(data) - (self._answer_bytes - self.fault.size)])
         self.close()
         return True
 
-    def take(self, fault: Fault) -> None:
+    def apply_fault(self, fault: Fault) -> None:
         """Let a fault strike while the connection is open."""
         self.fault = fault
         match fault.how:
@@ -283,39 +297,39 @@
             case How.CLOSE:
                 self.close()
             case How.HALF_OPEN:
-                self.parted = True
-                _reset(self.far)
+                self.is_half_open = True
+                _reset(self.upstream)
 
-    def recover(self) -> None:
+    def clear_fault(self) -> None:
         """Let data pass again; a parted pair is dead and says so."""
         self.fault = None
-        if self.parted:
-            self.parted = False
+        if self.is_half_open:
+            self.is_half_open = False
             self.reset()
 
-    def refuse(self) -> None:
+    def reply_no_listener(self) -> None:
         """Tell the source that nobody listens."""
-        if not self.absent:
+        if not self.no_listener_reply:
             self.reset()
             return
         with contextlib.suppress(OSError):
-            self.near.settimeout(REFUSE_SECONDS)
-            self.near.sendall(self.absent)
-            self.near.shutdown(socket.SHUT_WR)
+            self.downstream.settimeout(REPLY_TIMEOUT_SECONDS)
+            self.downstream.sendall(self.no_listener_reply)
+            self.downstream.shutdown(socket.SHUT_WR)
             # Closed with the request unread, the socket would answer with
             # a reset that overtakes what was sent.
-            while self.near.recv(READ_BYTES):
+            while self.downstream.recv(READ_BYTES):
                 pass
         self.close()
 
     def reset(self) -> None:
         """End both sides by a reset."""
-        _reset(self.near)
-        _reset(self.far)
+        _reset(self.downstream)
+        _reset(self.upstream)
 
     def close(self) -> None:
         """End both sides."""
-        for end in (self.near, self.far):
+        for end in (self.downstream, self.upstream):
             if end is None:
                 continue
             with contextlib.suppress(OSError):
--- a/standins/scenario.py
+++ b/standins/scenario.py
@@ -36,16 +36,16 @@
         scenario: models.Scenario,
         seed: int,
         subnet: str,
-        tell: collections.abc.Callable[[str], None],
+        write_line: collections.abc.Callable[[str], None],
     ) -> None:
         self.scenario = scenario
         self.problems: list[str] = []
         self._seed = seed
         self._subnet = subnet
-        self._write = tell
-        self._began = time.monotonic()
-        self._ordered: dict[str, float] = {}
-        self._turned: dict[str, list[float]] = {}
+        self._write_line = write_line
+        self._started_at = time.monotonic()
+        self._order_times: dict[str, float] = {}
+        self._cold_restarts: dict[str, list[float]] = {}
 
     def run(self) -> list[str]:
         """Run all steps; return what went wrong, empty if nothing did."""
@@ -60,7 +60,9 @@
                 **dict(self.scenario.layout),
             )
             self.fleet = scenario_fleet.ProxiedFleet(layout, running, links)
-            self.callers = scenario_callers.Callers(self.fleet, self.tell)
+            self.callers = scenario_callers.Callers(
+                self.fleet, self.write_trace
+            )
             try:
                 self._run_steps()
             finally:
@@ -68,14 +70,14 @@
                 links.stop()
         return self.problems
 
-    def tell(self, text: str) -> None:
+    def write_trace(self, text: str) -> None:
         """Add a line with the time since the start and the wall clock."""
-        passed = time.monotonic() - self._began
-        self._write(f"{passed:8.3f} {time.time():.3f} {text}")
+        passed = time.monotonic() - self._started_at
+        self._write_line(f"{passed:8.3f} {time.time():.3f} {text}")
 
-    def fail(self, text: str) -> None:
+    def add_problem(self, text: str) -> None:
         """Note that a promise broke or an expectation failed."""
-        self.tell(f"FAILED {text}")
+        self.write_trace(f"FAILED {text}")
         self.problems.append(text)
 
     def read_arrivals(self) -> list[checks.Arrival]:
@@ -89,15 +91,15 @@
 
     def get_order_time(self, name: str) -> float:
         """Return when a node was ordered out, wall clock time."""
-        return self._ordered[name]
+        return self._order_times[name]
 
     def _run_steps(self) -> None:
         self.fleet.start()
         first = self.fleet.entries[0]["name"]
         self._wait(models.Wait(served=first))
         for step in self.scenario.steps:
-            self.tell(f"{step.verb} {_describe(step)}")
-            self._take(step)
+            self.write_trace(f"{step.verb} {_describe(step)}")
+            self._run_step(step)
         self._settle()
 
     def _settle(self) -> None:
@@ -108,18 +110,21 @@
         self.fleet.links.heal(lambda source, target: True)
         for by in {record.by for record in self.callers.records}:
             if not self.callers.wait(by, 60.0):
-                self.fail(f"{by}: a caller never got its outcome")
+                self.add_problem(f"{by}: a caller never got its outcome")
         gevent.sleep(self.scenario.settle)
         overloads = checks.read_cold_overloads(
             self.fleet.folder, self.endpoints
         )
-        self.tell(f"  {len(overloads)} cold overloads in all")
-        for problem in checks.check_always(
-            self.callers.records, self.read_arrivals(), overloads, self._turned
+        self.write_trace(f"  {len(overloads)} cold overloads in all")
+        for problem in checks.check_invariants(
+            self.callers.records,
+            self.read_arrivals(),
+            overloads,
+            self._cold_restarts,
         ):
-            self.fail(problem)
+            self.add_problem(problem)
 
-    def _take(self, step: models.Step) -> None:
+    def _run_step(self, step: models.Step) -> None:
         value = getattr(step, step.verb)
         if isinstance(value, str):
             value = self.fleet.resolve(value)
@@ -129,14 +134,14 @@
             case "kill":
                 self.running.signal(value, signal.SIGKILL)
                 self.running.wait(value, 5.0)
-                self.fleet.links.shut(value)
+                self.fleet.links.stop_listening(value)
             case "freeze":
                 self.running.signal(value, signal.SIGSTOP)
             case "wake":
                 self.running.signal(value, signal.SIGCONT)
             case "stop":
                 self.running.signal(value, signal.SIGTERM)
-                gevent.spawn(self._shut_when_ended, value)
+                gevent.spawn(self._stop_listening_on_exit, value)
             case "platform":
                 self.fleet.set_platform(value)
             case "edit":
@@ -153,7 +158,7 @@
             case "expect":
                 scenario_expect.check(self, value)
             case _:
-                self._strike(step)
+                self._inject_fault(step)
 
     def _start(self, name: str) -> None:
         names = [e["name"] for e in self.fleet.endpoints]
@@ -166,50 +171,52 @@
             address = self.fleet.get_real_address(name)
             port = fleet_module.CALLER_PORT
         processes.wait_for_port(address, port)
-        self.fleet.links.open(name)
+        self.fleet.links.start_listening(name)
 
-    def _shut_when_ended(self, name: str) -> None:
+    def _stop_listening_on_exit(self, name: str) -> None:
         while self.running.is_running(name):
             gevent.sleep(0.005)
-        self.fleet.links.shut(name)
+        self.fleet.links.stop_listening(name)
 
-    def _strike(self, step: models.Step) -> None:
+    def _inject_fault(self, step: models.Step) -> None:
         match step.verb:
             case "cut":
-                self._cut(step.cut)
+                self._cut_links(step.cut)
             case "partition":
-                self._part(step.partition)
+                self._partition(step.partition)
             case "heal":
                 self._heal(step.heal)
             case "cold":
-                self._turned.setdefault(step.cold, []).append(time.time())
-                self.fleet.order_engine(step.cold, "/admin/cold")
+                self._cold_restarts.setdefault(step.cold, []).append(
+                    time.time()
+                )
+                self.fleet.post_to_engine(step.cold, "/admin/cold")
             case "slow":
                 for name, factor in step.slow.items():
-                    self.fleet.order_engine(
+                    self.fleet.post_to_engine(
                         name, f"/admin/slow?factor={factor}"
                     )
 
-    def _cut(self, cut: models.Cut) -> None:
+    def _cut_links(self, cut: models.Cut) -> None:
         fault = proxy.Fault(
             how=cut.how, seconds=cut.seconds, size=cut.size, share=cut.share
         )
-        for one in self.fleet.find_names(cut.between):
-            for other in self.fleet.find_names(cut.and_):
-                self.fleet.links.strike(one, other, fault)
+        for one in self.fleet.expand_names(cut.between):
+            for other in self.fleet.expand_names(cut.and_):
+                self.fleet.links.inject_fault(one, other, fault)
                 if not cut.one_way:
-                    self.fleet.links.strike(other, one, fault)
+                    self.fleet.links.inject_fault(other, one, fault)
 
-    def _part(self, partition: models.Partition) -> None:
+    def _partition(self, partition: models.Partition) -> None:
         fault = proxy.Fault(how=partition.how)
-        groups = [self.fleet.find_names(group) for group in partition.groups]
+        groups = [self.fleet.expand_names(group) for group in partition.groups]
         for group in groups:
             for other in groups:
                 if other is group:
                     continue
                 for source in group:
                     for target in other:
-                        self.fleet.links.strike(source, target, fault)
+                        self.fleet.links.inject_fault(source, target, fault)
 
     def _heal(self, name: str) -> None:
         self.fleet.links.heal(lambda *pair: name == "all" or name in pair)
@@ -220,7 +227,7 @@
             edit = edit.model_copy(update={"instance": name})
         named = edit.data_centre or edit.endpoint or edit.instance
         if named and edit.state != "in":
-            self._ordered[named] = time.time()
+            self._order_times[named] = time.time()
         self.fleet.edit(edit)
 
     def _wait(self, wait: models.Wait) -> None:
@@ -230,7 +237,7 @@
             return
         while not self._has_happened(wait):
             if time.monotonic() > end:
-                self.fail(f"never happened: {_describe_model(wait)}")
+                self.add_problem(f"never happened: {_describe_model(wait)}")
                 return
             gevent.sleep(POLL_SECONDS)
 
@@ -243,7 +250,7 @@
             name = self.fleet.resolve(wait.ended)
             return not self.running.is_running(name)
         names = wait.at or tuple(i["name"] for i in self.fleet.instances)
-        return all(self.callers.is_served(wait.served, n) for n in names)
+        return all(self.callers.accepts_key(wait.served, n) for n in names)
 
     def _count_received(self, by: str) -> int:
         tags = {r.tag for r in self.callers.records if r.by == by}
--- a/standins/scenario_callers.py
+++ b/standins/scenario_callers.py
@@ -15,7 +15,7 @@
 from standins import scenario_fleet
 from standins import scenario_models as models
 
-LOOKUP_SECONDS = 20.0
+LOOKUP_TIMEOUT_SECONDS = 20.0
 """How long a caller tries to find an entry that answers."""
 
 PROBE_SECONDS = 0.1
@@ -84,12 +84,12 @@
     def __init__(
         self,
         fleet: scenario_fleet.ProxiedFleet,
-        tell: collections.abc.Callable[[str], None],
+        write_trace: collections.abc.Callable[[str], None],
     ) -> None:
         self.records: list[Record] = []
         self.probes: dict[str, list[Probe]] = {}
         self._fleet = fleet
-        self._tell = tell
+        self._write_trace = write_trace
         self._tasks: dict[str, list[gevent.Greenlet]] = {}
         self._numbers = itertools.count(1)
 
@@ -111,7 +111,7 @@
                 )
             )
         if send.wait:
-            self.wait(send.by, send.deadline + LOOKUP_SECONDS)
+            self.wait(send.by, send.deadline + LOOKUP_TIMEOUT_SECONDS)
 
     def wait(self, by: str, seconds: float) -> bool:
         """Wait for all outcomes of a group; return whether they came."""
@@ -139,7 +139,7 @@
             if not known:
                 continue
             began = time.time()
-            code = caller.ask_code(address, known[0]["key"])
+            code = caller.look_up_code(address, known[0]["key"])
             if code in (CODE_ACCEPTED, CODE_UNKNOWN_KEY):
                 probe = Probe(
                     time=began,
@@ -148,7 +148,7 @@
                 )
                 self.probes[entry].append(probe)
 
-    def is_served(self, entry: str, instance: str) -> bool:
+    def accepts_key(self, entry: str, instance: str) -> bool:
         """Return whether an instance accepts an entry's key."""
         key = next(e["key"] for e in self._fleet.entries if e["name"] == entry)
         try:
@@ -164,7 +164,7 @@
 
     def _make_record(self, send: models.Send, entry: dict[str, Any]) -> Record:
         tag = f"{send.by[:16]}-{next(self._numbers):05d}".rjust(
-            engine.TAG_CHARS, "."
+            engine.PROMPT_TAG_CHARS, "."
         )
         if send.service:
             body = json.dumps({"tag": tag}).encode()
@@ -187,7 +187,7 @@
         for attempt in range(send.repeats + 1):
             address = addresses[(first + attempt) % len(addresses)]
             outcome = self._send_once(record, key, address, headers)
-            if not _may_repeat(send, outcome):
+            if not _should_repeat(send, outcome):
                 return
             gevent.sleep(outcome.retry_after or 0.1)
 
@@ -214,7 +214,7 @@
             Attempt(began=began, ended=time.time(), outcome=outcome)
         )
         if not outcome.whole:
-            self._tell(
+            self._write_trace(
                 f"outcome {record.tag.lstrip('.')} at {address}: "
                 f"status {outcome.status} code {outcome.code} "
                 f"{outcome.ran or 'no refusal'}, "
@@ -227,7 +227,7 @@
     ) -> tuple[list[str], str]:
         names = [i["name"] for i in self._fleet.instances]
         asked = [send.at] if send.at else names
-        end = time.monotonic() + LOOKUP_SECONDS
+        end = time.monotonic() + LOOKUP_TIMEOUT_SECONDS
         for name in itertools.cycle(asked):
             address = self._fleet.get_address(name)
             try:
@@ -260,7 +260,7 @@
     return headers
 
 
-def _may_repeat(send: models.Send, outcome: caller.Outcome) -> bool:
+def _should_repeat(send: models.Send, outcome: caller.Outcome) -> bool:
     if outcome.whole:
         return False
     return send.keyed or outcome.ran in ("not run", "not sent")
--- a/standins/scenario_checks.py
+++ b/standins/scenario_checks.py
@@ -12,7 +12,7 @@
 SHED_CODES = frozenset({2101, 2102, 2104})
 """Refusals for want of capacity."""
 
-EVIDENCE_SECONDS = 1.3
+DETECTION_SECONDS = 1.3
 """Lag of a report, the pause between two, and time to read one."""
 
 
@@ -54,22 +54,22 @@
         return "?"
 
 
-def check_always(
+def check_invariants(
     records: list[callers.Record],
     arrivals: list[Arrival],
     overloads: list[Overload],
-    turned: dict[str, list[float]],
+    cold_restarts: dict[str, list[float]],
 ) -> list[str]:
     """Return each breach of a promise that holds in every scenario."""
     return [
-        *check_once(arrivals),
+        *check_received_once(arrivals),
         *check_not_run(records, arrivals),
         *check_answers(records),
-        *check_cold(overloads, turned),
+        *check_cold_overloads(overloads, cold_restarts),
     ]
 
 
-def check_once(arrivals: list[Arrival]) -> list[str]:
+def check_received_once(arrivals: list[Arrival]) -> list[str]:
     """Return the requests that endpoints received more than once."""
     counts = collections.Counter(arrival.tag for arrival in arrivals)
     return [
@@ -128,8 +128,8 @@
     ]
 
 
-def check_cold(
-    overloads: list[Overload], turned: dict[str, list[float]]
+def check_cold_overloads(
+    overloads: list[Overload], cold_restarts: dict[str, list[float]]
 ) -> list[str]:
     """Return the cold starts that got more than they bear.
 
@@ -139,22 +139,22 @@
 
     Args:
         overloads: what the engines counted.
-        turned: when the scenario turned an engine cold, by its name.
+        cold_restarts: when the scenario turned an engine cold, by its name.
     """
     return [
         f"{o.endpoint} fell over in cold start, at {o.time:.3f}"
         for o in overloads
-        if not is_before_evidence(o, turned)
+        if not is_before_detection(o, cold_restarts)
     ]
 
 
-def is_before_evidence(
-    overload: Overload, turned: dict[str, list[float]]
+def is_before_detection(
+    overload: Overload, cold_restarts: dict[str, list[float]]
 ) -> bool:
     """Return whether an overload came before a turn could be known."""
     return any(
-        0 <= overload.time - time <= EVIDENCE_SECONDS
-        for time in turned.get(overload.endpoint, ())
+        0 <= overload.time - time <= DETECTION_SECONDS
+        for time in cold_restarts.get(overload.endpoint, ())
     )
 
 
@@ -199,14 +199,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Traced:
+class _StartedRequest:
     request: str
     tier: int
     time: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Shed:
+class ShedRequest:
     """A request refused for want of capacity.
 
     Attributes:
@@ -221,19 +221,19 @@
     tier: int
     code: int
     waited: float
-    served: int
-    started: int
+    lower_served: int
+    lower_started: int
 
 
-def read_sheds(
+def read_shed_requests(
     folder: pathlib.Path, names: list[str], endpoints: list[str]
-) -> list[Shed]:
+) -> list[ShedRequest]:
     """Return what the fleet shed, from traces and endpoints' journals."""
     tiers: dict[str, int] = {}
     arrived: dict[str, float] = {}
     shed: dict[str, float] = {}
     codes: dict[str, int] = {}
-    started: list[_Traced] = []
+    started: list[_StartedRequest] = []
     for line in _read_events(folder, names):
         if line["event"] == "RequestArrived":
             tiers[line["request"]] = line["tier"]
@@ -242,7 +242,7 @@
             request = action["request"]
             if action["kind"] == "Dispatch":
                 started.append(
-                    _Traced(
+                    _StartedRequest(
                         request=request,
                         tier=tiers[request],
                         time=line["time"],
@@ -256,12 +256,16 @@
     for request, time in shed.items():
         lower = [s for s in started if s.tier > tiers[request]]
         sheds.append(
-            Shed(
+            ShedRequest(
                 tier=tiers[request],
                 code=codes[request],
                 waited=time - arrived[request],
-                served=sum(_is_served(spans, s.request, time) for s in lower),
-                started=sum(arrived[request] < s.time < time for s in lower),
+                lower_served=sum(
+                    _is_served(spans, s.request, time) for s in lower
+                ),
+                lower_started=sum(
+                    arrived[request] < s.time < time for s in lower
+                ),
             )
         )
     return sheds
--- a/standins/scenario_expect.py
+++ b/standins/scenario_expect.py
@@ -21,30 +21,32 @@
         name = runner.fleet.resolve(expect.exit)
         code = runner.running.wait(name, expect.within)
         if code != 0:
-            runner.fail(f"{expect.exit} ended with {code}, not 0")
+            runner.add_problem(f"{expect.exit} ended with {code}, not 0")
     if expect.never_back:
         for problem in checks.check_never_back(
             runner.callers.probes[expect.never_back]
         ):
-            runner.fail(problem)
+            runner.add_problem(problem)
     if expect.tier_order:
         _check_tier_order(runner)
 
 
 def _check_tier_order(runner: "scenario.Runner") -> None:
     names = [i["name"] for i in runner.fleet.instances]
-    sheds = checks.read_sheds(runner.fleet.folder, names, runner.endpoints)
-    passed = sum(shed.started > 0 for shed in sheds)
-    runner.tell(
+    sheds = checks.read_shed_requests(
+        runner.fleet.folder, names, runner.endpoints
+    )
+    passed = sum(shed.lower_started > 0 for shed in sheds)
+    runner.write_trace(
         f"  {len(sheds)} shed, {passed} of them after a lower one was "
         "started while they waited"
     )
     for shed in sheds:
-        if shed.served:
-            runner.fail(
+        if shed.lower_served:
+            runner.add_problem(
                 f"tier {shed.tier} was shed with {shed.code}, "
                 f"{shed.waited:.2f} s after it arrived, while "
-                f"{shed.served} of a lower tier were served"
+                f"{shed.lower_served} of a lower tier were served"
             )
 
 
@@ -61,15 +63,15 @@
         ),
     }
     counts["unknown"] = len(last) - counts["whole"] - counts["not_run"]
-    runner.tell(f"  {expect.of}: {len(last)} of {sent} ended, {counts}")
+    runner.write_trace(f"  {expect.of}: {len(last)} of {sent} ended, {counts}")
     for name, count in counts.items():
         wanted = getattr(expect, name)
         if wanted == "all":
             wanted = sent
         if wanted is not None and count != wanted:
-            runner.fail(f"{expect.of}: {count} {name}, not {wanted}")
+            runner.add_problem(f"{expect.of}: {count} {name}, not {wanted}")
     if expect.whole_at_least is not None and whole < expect.whole_at_least:
-        runner.fail(f"{expect.of}: {whole} whole, too few")
+        runner.add_problem(f"{expect.of}: {whole} whole, too few")
     _check_codes(runner, expect)
 
 
@@ -83,18 +85,20 @@
         if attempt.outcome.code is not None
     }
     if given - set(expect.codes):
-        runner.fail(f"{expect.of}: codes {sorted(given)}")
+        runner.add_problem(f"{expect.of}: codes {sorted(given)}")
 
 
 def _check_received(runner: "scenario.Runner", expect: models.Expect) -> None:
     tags = {r.tag for r in runner.callers.records if r.by == expect.of}
     count = sum(arrival.tag in tags for arrival in runner.read_arrivals())
-    runner.tell(f"  {expect.of}: {count} received")
+    runner.write_trace(f"  {expect.of}: {count} received")
     if expect.received is not None and count != expect.received:
-        runner.fail(f"{expect.of}: {count} received, not {expect.received}")
+        runner.add_problem(
+            f"{expect.of}: {count} received, not {expect.received}"
+        )
     most = expect.received_at_most
     if most is not None and count > most:
-        runner.fail(f"{expect.of}: {count} received, more than {most}")
+        runner.add_problem(f"{expect.of}: {count} received, more than {most}")
 
 
 def _check_last_work(runner: "scenario.Runner", expect: models.Expect) -> None:
@@ -110,6 +114,6 @@
         runner.get_order_time(named),
         expect.within,
     )
-    runner.tell(f"  last new work {last:.3f} s after the order")
+    runner.write_trace(f"  last new work {last:.3f} s after the order")
     for problem in problems:
-        runner.fail(problem)
+        runner.add_problem(problem)
--- a/standins/scenario_fleet.py
+++ b/standins/scenario_fleet.py
@@ -10,8 +10,8 @@
 PROXY_OFFSET = 5
 """Added to the second number of an address: where the proxy stands for it."""
 
-ABSENT = (
-    f"HTTP/1.1 {caller.STATUS_ABSENT} Nobody listens\r\n"
+NO_LISTENER_REPLY = (
+    f"HTTP/1.1 {caller.STATUS_NO_LISTENER} Nobody listens\r\n"
     "Content-Length: 2\r\nConnection: close\r\n\r\n{}"
 ).encode()
 """What the proxy says in place of a refused connection."""
@@ -44,7 +44,7 @@
                 instance["address"],
                 (fleet.CALLER_PORT, fleet.PEER_PORT),
             )
-            links.name_source(instance["address"], instance["name"])
+            links.register_source(instance["address"], instance["name"])
 
     def run_instance(self, name: str, settings_file: str) -> None:
         """Start the process of an instance."""
@@ -55,7 +55,7 @@
         first, second, *rest = address.split(".")
         return ".".join([first, str(int(second) + PROXY_OFFSET), *rest])
 
-    def find_names(self, words: tuple[str, ...]) -> list[str]:
+    def expand_names(self, words: tuple[str, ...]) -> list[str]:
         """Return the node names that names and group names stand for."""
         groups = {
             "entries": [i["name"] for i in self.instances],
@@ -107,7 +107,7 @@
             self.publish_instances()
             return
         if edit.older:
-            self.publish_older()
+            self.republish_previous_catalogue()
             return
         if edit.data_centre:
             _set_state(self.data_centres, edit.data_centre, edit.state)
@@ -130,7 +130,7 @@
                 (self.publish_address(address), port),
                 name,
                 (address, port),
-                ABSENT if port == fleet.CALLER_PORT else b"",
+                NO_LISTENER_REPLY if port == fleet.CALLER_PORT else b"",
             )
 
 
--- a/standins/scenario_models.py
+++ b/standins/scenario_models.py
@@ -9,11 +9,11 @@
 from standins import proxy
 
 
-class _Strict(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class LayoutModel(_Strict):
+class LayoutModel(_StrictModel):
     """What stands where; see ``fleet.Layout``."""
 
     data_centres: tuple[str, ...] = ("dc-1", "dc-2")
@@ -23,7 +23,7 @@
     entries: tuple[dict[str, Any], ...] = ()
 
 
-class Send(_Strict):
+class Send(_StrictModel):
     """A named caller sends requests.
 
     Attributes:
@@ -65,7 +65,7 @@
     wait: bool = False
 
 
-class Cut(_Strict):
+class Cut(_StrictModel):
     """A fault on the links between two sets of nodes, both ways.
 
     Attributes:
@@ -89,14 +89,14 @@
     share: float = 1.0
 
 
-class Partition(_Strict):
+class Partition(_StrictModel):
     """Groups that can't reach each other; others reach all."""
 
     groups: tuple[tuple[str, ...], ...]
     how: proxy.How = proxy.How.HOLD
 
 
-class Edit(_Strict):
+class Edit(_StrictModel):
     """An operator's edit; published at once.
 
     Attributes:
@@ -121,7 +121,7 @@
     older: bool = False
 
 
-class Wait(_Strict):
+class Wait(_StrictModel):
     """Wait until something has happened, at most so many seconds.
 
     Attributes:
@@ -146,7 +146,7 @@
     count: int | None = None
 
 
-class Expect(_Strict):
+class Expect(_StrictModel):
     """What must be true now; numbers are counts of a group.
 
     Attributes:
@@ -186,7 +186,7 @@
     tier_order: bool = False
 
 
-class Step(_Strict):
+class Step(_StrictModel):
     """One step: exactly one field is set.
 
     Attributes:
@@ -228,7 +228,7 @@
     expect: Expect | None = None
 
     @pydantic.model_validator(mode="after")
-    def check_one(self) -> "Step":
+    def check_single_field(self) -> "Step":
         """Refuse a step that says nothing or two things."""
         if len(self.model_fields_set) != 1:
             raise ValueError("a step is one of its fields")
@@ -240,7 +240,7 @@
         return next(iter(self.model_fields_set))
 
 
-class Scenario(_Strict):
+class Scenario(_StrictModel):
     """A scenario file.
 
     Attributes:
--- a/standins/scenario_soak.py
+++ b/standins/scenario_soak.py
@@ -11,16 +11,18 @@
 
 NAMES = ("entry-1", "entry-2", "entry-3", "entry-4")
 ENGINES = ("engine-1", "engine-2")
-FAULTS = 8
+FAULT_COUNT = 8
 """Faults in one scenario, each healed before the next but one."""
 
-SHAPE = {"cold_seconds": 0.5, "prefill_rate": 1000}
+ENGINE_SHAPE = {"cold_seconds": 0.5, "prefill_rate": 1000}
 
 
 def make_scenario(seed: int) -> models.Scenario:
     """Return the scenario of a seed."""
-    chance = random.Random(seed)
-    engines = [{"name": n, "models": ["small"], **SHAPE} for n in ENGINES]
+    rng = random.Random(seed)
+    engines = [
+        {"name": n, "models": ["small"], **ENGINE_SHAPE} for n in ENGINES
+    ]
     entries = [
         {"name": f"tier-{n}", "owner": f"w-{n}", "class": n, "key": f"key-{n}"}
         for n in range(4)
@@ -28,11 +30,11 @@
     steps: list[dict[str, Any]] = [
         {"send": {"by": "warm", "to": "small", "count": 8, "repeats": 20}},
         {"wait": {"outcomes": "warm"}},
-        *_make_load(chance),
+        *_make_load(rng),
     ]
-    for _ in range(FAULTS):
-        fault, mend = _make_fault(chance)
-        steps += [fault, _pause(chance), *mend]
+    for _ in range(FAULT_COUNT):
+        fault, repair_steps = _make_fault(rng)
+        steps += [fault, _pause(rng), *repair_steps]
     return models.Scenario.model_validate(
         {
             "promise": "all that hold in every scenario",
@@ -48,7 +50,7 @@
     )
 
 
-def _make_load(chance: random.Random) -> list[dict[str, Any]]:
+def _make_load(rng: random.Random) -> list[dict[str, Any]]:
     common = {"count": 100, "keyed": True, "repeats": 4, "deadline": 8}
     chats = [
         {
@@ -57,8 +59,8 @@
             "entry": f"tier-{tier}",
             "to": "small",
             "every": 0.2,
-            "tokens": chance.choice((5, 30, 200)),
-            "stream": chance.random() < 0.7,
+            "tokens": rng.choice((5, 30, 200)),
+            "stream": rng.random() < 0.7,
         }
         for tier in range(4)
     ]
@@ -67,24 +69,24 @@
         "by": "books",
         "to": "reservations",
         "service": True,
-        "method": chance.choice(("POST", "PUT")),
+        "method": rng.choice(("POST", "PUT")),
         "idempotent": False,
         "every": 0.2,
     }
     return [{"send": send} for send in (*chats, books)]
 
 
-def _pause(chance: random.Random) -> dict[str, Any]:
-    return {"wait": {"seconds": round(chance.uniform(0.1, 3.0), 2)}}
+def _pause(rng: random.Random) -> dict[str, Any]:
+    return {"wait": {"seconds": round(rng.uniform(0.1, 3.0), 2)}}
 
 
 def _make_fault(
-    chance: random.Random,
+    rng: random.Random,
 ) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-    name = chance.choice(NAMES)
-    engine = chance.choice(ENGINES)
-    centre = chance.choice(("dc-1", "dc-2"))
-    halves = chance.sample(NAMES, len(NAMES))
+    name = rng.choice(NAMES)
+    engine = rng.choice(ENGINES)
+    centre = rng.choice(("dc-1", "dc-2"))
+    halves = rng.sample(NAMES, len(NAMES))
     served = {"wait": {"served": "tier-0", "at": [name]}}
     restart = [{"start": name}, served]
     faults: list[tuple[dict[str, Any], list[dict[str, Any]]]] = [
@@ -95,8 +97,8 @@
             {"partition": {"groups": [halves[:2], halves[2:]]}},
             [{"heal": "all"}],
         ),
-        ({"cut": _make_cut(chance)}, [{"heal": "all"}]),
-        ({"platform": chance.choice(("down", "stale"))}, [{"platform": "up"}]),
+        ({"cut": _make_cut(rng)}, [{"heal": "all"}]),
+        ({"platform": rng.choice(("down", "stale"))}, [{"platform": "up"}]),
         ({"cold": engine}, []),
         ({"slow": {engine: 5}}, [{"slow": {engine: 1}}]),
         (
@@ -104,23 +106,23 @@
             [{"edit": {"data_centre": centre, "state": "in"}}],
         ),
     ]
-    return chance.choice(faults)
+    return rng.choice(faults)
 
 
-def _make_cut(chance: random.Random) -> dict[str, Any]:
-    sides = chance.choice(
+def _make_cut(rng: random.Random) -> dict[str, Any]:
+    sides = rng.choice(
         (
             (["entries"], ["endpoints"]),
             (["callers"], ["entries"]),
-            ([chance.choice(NAMES)], list(NAMES)),
+            ([rng.choice(NAMES)], list(NAMES)),
         )
     )
     return {
         "between": sides[0],
         "and": sides[1],
-        "how": str(chance.choice(list(proxy.How))),
-        "size": chance.choice((50, 500, 5000)),
-        "share": chance.choice((0.3, 1.0)),
+        "how": str(rng.choice(list(proxy.How))),
+        "size": rng.choice((50, 500, 5000)),
+        "share": rng.choice((0.3, 1.0)),
     }
 
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -12,8 +12,10 @@
 class Service:
     """Records each call and answers with a receipt of its body."""
 
-    def __init__(self, notes: journal.Journal, seconds: float) -> None:
-        self._notes = notes
+    def __init__(
+        self, request_journal: journal.Journal, seconds: float
+    ) -> None:
+        self._journal = request_journal
         self._seconds = seconds
         self._running = 0
         self._received = 0
@@ -22,10 +24,10 @@
         """Answer one HTTP request."""
         if environ["PATH_INFO"] == "/load":
             report = {"running": self._running, "received": self._received}
-            return _answer(start_response, report)
+            return _respond_json(start_response, report)
         body = environ["wsgi.input"].read()
         self._received += 1
-        self._notes.add(
+        self._journal.add(
             "received",
             request=environ.get("HTTP_X_REQUEST_ID"),
             key=environ.get("HTTP_IDEMPOTENCY_KEY"),
@@ -34,10 +36,12 @@
         self._running += 1
         gevent.sleep(self._seconds)
         self._running -= 1
-        return _answer(start_response, {"receipt": answers.make_receipt(body)})
+        return _respond_json(
+            start_response, {"receipt": answers.make_receipt(body)}
+        )
 
 
-def _answer(start_response, body: dict) -> list[bytes]:  # noqa: ANN001
+def _respond_json(start_response, body: dict) -> list[bytes]:  # noqa: ANN001
     data = json.dumps(body).encode()
     start_response(
         "200 OK",
--- a/tests/callers/fleets.py
+++ b/tests/callers/fleets.py
@@ -32,12 +32,12 @@
     started = fleets.start_fleet(test, layout)
     body = caller.make_chat("small", "hello", 1)
     for address in started.get_callers_addresses():
-        caller.send_patiently(address, KEY, CHAT, body)
+        caller.send_until_run(address, KEY, CHAT, body)
         # Also waits for the links between instances: a ticket of each
         # instance is accepted at all of them.
         for other in started.get_callers_addresses():
             headers = make_headers(other, "warm-up")
-            caller.send_patiently(address, KEY, CHAT, body, headers=headers)
+            caller.send_until_run(address, KEY, CHAT, body, headers=headers)
     return started
 
 
--- a/tests/callers/test_identity.py
+++ b/tests/callers/test_identity.py
@@ -105,7 +105,7 @@
             outcome,
         )
         self.fleet.running.signal("entry-1", signal.SIGCONT)
-        outcome = caller.send_patiently(
+        outcome = caller.send_until_run(
             other, fleets.KEY, fleets.BOOK, {"die": 7}, headers=headers
         )
         self.assertEqual(RECEIPT, outcome.text)
--- a/tests/endpoints/test_client.py
+++ b/tests/endpoints/test_client.py
@@ -125,7 +125,7 @@
             self.pieces.append(message)
             if len(self.pieces) in (5, 15):
                 for stream in made._streams.values():
-                    stream.cut()
+                    stream.disconnect_readers()
 
         encoded = caller.encode_body(body)
         answer = self.call(address, deliver=deliver, body=encoded)
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -72,7 +72,7 @@
 
     def send(self, address, **headers):
         """Send a chat call that must be answered whole."""
-        outcome = caller.send_patiently(
+        outcome = caller.send_until_run(
             address, "key-1", CHAT, self.body, headers=headers
         )
         self.assertTrue(outcome.whole)
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -92,7 +92,7 @@
         address = started.get_callers_addresses()[0]
         processes.wait_for_port(*address.split(":"), seconds=60)
         body = caller.make_chat("small", "what is due?", 5)
-        outcome = caller.send_patiently(
+        outcome = caller.send_until_run(
             address, "key-1", "/v1/chat/completions", body
         )
         self.assertEqual(caller.make_expected(body), outcome.text)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -13,8 +13,8 @@
 from standins import demo_loads
 from standins import engine
 
-STATUS_READ = demo_loads.KINDS[0]
-RESERVATION = demo_loads.KINDS[1]
+STATUS_READ = demo_loads.WORK_KINDS[0]
+RESERVATION = demo_loads.WORK_KINDS[1]
 
 
 class FiguresTest(testtools.TestCase):
@@ -32,9 +32,9 @@
         """Write a journal and return the figures."""
         path = self.folder / "endpoint.jsonl"
         path.write_text("".join(json.dumps(x) + "\n" for x in lines))
-        absence = demo_figures.Absence(left=100.0, returned=200.0)
-        return demo_figures.count(
-            records, self.folder, absence, frozenset({"endpoint"}), 1.0
+        out_of_service = demo_figures.OutOfService(left=100.0, returned=200.0)
+        return demo_figures.compute_figures(
+            records, self.folder, out_of_service, frozenset({"endpoint"}), 1.0
         )
 
     def make_record(self, kind, **fields):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -41,7 +41,7 @@
         """Send a chat call and check its answer."""
         body = caller.make_chat("large", "what is due?", 20, **options)
         path = "/v1/chat/completions"
-        outcome = caller.send_patiently(address, "key-1", path, body)
+        outcome = caller.send_until_run(address, "key-1", path, body)
         self.assertEqual(caller.make_expected(body), outcome.text)
         self.assertTrue(outcome.whole)
 
