--- a/citronport/platform/client.py
+++ b/citronport/platform/client.py
@@ -13,7 +13,7 @@
 
 _STATUS_COMPACTED = 410
 
-WHOLE_SECONDS = 6.0
+RESPONSE_TIMEOUT_SECONDS = 6.0
 """How long an answer may take that keeps coming: a page of 1 MB takes 4 s on
 half a link of 5 Mbit/s."""
 
@@ -22,7 +22,7 @@
     """The store keeps no history back to the revision asked for."""
 
 
-Outcome = result.Result[models.Answer, str | Compacted]
+Outcome = result.Result[models.StoreResponse, str | Compacted]
 
 
 class Client:
@@ -30,15 +30,16 @@
 
     Args:
         address: "ip:port" of the store.
-        seconds: how long the store may send nothing, beyond a watch's wait.
+        idle_seconds: how long the store may send nothing, beyond a watch's
+            wait.
 
     Attributes:
         received: bytes of the latest answer's body that came.
     """
 
-    def __init__(self, address: str, seconds: float) -> None:
+    def __init__(self, address: str, idle_seconds: float) -> None:
         self._address = address
-        self._seconds = seconds
+        self._idle_seconds = idle_seconds
         self._connection: connection.Connection | None = None
         self.received = 0
 
@@ -52,7 +53,7 @@
         query = {"prefix": prefix}
         if after:
             query["after"] = after
-        return self._ask(const.PATH_RANGE, query, 0.0, models.parse_range)
+        return self._request(const.PATH_RANGE, query, 0.0, models.parse_range)
 
     def watch(self, prefix: str, revision: int, wait: float) -> Outcome:
         """Wait for changes later than a revision.
@@ -67,7 +68,9 @@
             "after": str(revision),
             "waitMs": str(int(wait * 1000)),
         }
-        return self._ask(const.PATH_WATCH, query, wait, models.parse_events)
+        return self._request(
+            const.PATH_WATCH, query, wait, models.parse_events
+        )
 
     def close(self) -> None:
         """Close the connection; the next question opens another."""
@@ -75,19 +78,19 @@
             self._connection.close()
             self._connection = None
 
-    def _ask(
+    def _request(
         self,
         path: str,
         query: dict[str, str],
         wait: float,
         parse: collections.abc.Callable[
-            [bytes], result.Result[models.Answer, str]
+            [bytes], result.Result[models.StoreResponse, str]
         ],
     ) -> Outcome:
         self.received = 0
         target = f"{path}?{urllib.parse.urlencode(query)}"
         try:
-            with gevent.Timeout(wait + WHOLE_SECONDS, TimeoutError):
+            with gevent.Timeout(wait + RESPONSE_TIMEOUT_SECONDS, TimeoutError):
                 status, body = self._exchange(target, wait)
         except TimeoutError:
             # The connection may have gone silent for good: an answer that
@@ -104,24 +107,24 @@
         return parse(body)
 
     def _exchange(self, target: str, wait: float) -> tuple[int, bytes]:
-        with gevent.Timeout(wait + self._seconds, TimeoutError):
+        with gevent.Timeout(wait + self._idle_seconds, TimeoutError):
             if self._connection is None or not self._connection.is_idle():
                 self.close()
                 self._connection = connection.connect(self._address)
             used = self._connection
             used.send(connection.encode_request(self._address, "GET", target))
             status = used.read_head().status_code
-        parts = []
+        chunks = []
         # Each piece has its own time: a large answer on a slow link takes
         # longer than a silence may, and one that is thrown away and asked
         # for anew may never come to its end.
-        while data := self._read_piece(used):
-            parts.append(data)
+        while data := self._read_chunk(used):
+            chunks.append(data)
             self.received += len(data)
         if not used.is_reusable():
             self.close()
-        return status, b"".join(parts)
+        return status, b"".join(chunks)
 
-    def _read_piece(self, used: connection.Connection) -> bytes:
-        with gevent.Timeout(self._seconds, TimeoutError):
+    def _read_chunk(self, used: connection.Connection) -> bytes:
+        with gevent.Timeout(self._idle_seconds, TimeoutError):
             return used.read()
--- a/citronport/platform/const.py
+++ b/citronport/platform/const.py
@@ -6,7 +6,7 @@
 
 PATH_READY: Final = "/citronport/readyz"
 PATH_LOOKUP: Final = "/citronport/resolve"
-LOOKUP_ADDRESSES: Final = 64
+MAX_LOOKUP_ADDRESSES: Final = 64
 """Addresses that an answer to a lookup may name."""
 
 # Calls to the store
@@ -27,32 +27,32 @@
 
 # Headers of a caller's request, as an HTTP server hands them over
 
-REQUEST_ID: Final = "x-attempt-id"
-DEADLINE: Final = "x-deadline-ms"
-API_KEY: Final = "x-api-key"
-TOKENS: Final = "x-token-counts"
-LENGTH_HINT: Final = "x-length-hint"
-PARTS: Final = "x-prompt-prefix"
+HEADER_REQUEST_ID: Final = "x-attempt-id"
+HEADER_DEADLINE: Final = "x-deadline-ms"
+HEADER_API_KEY: Final = "x-api-key"
+HEADER_TOKEN_COUNTS: Final = "x-token-counts"
+HEADER_LENGTH_HINT: Final = "x-length-hint"
+HEADER_PROMPT_PARTS: Final = "x-prompt-prefix"
 
 # Headers that an instance sets towards an endpoint
 
-EXPECTED_ENDPOINT: Final = "x-expect-instance"
-WORKSPACE: Final = "x-tenant"
-RESUME_AFTER: Final = "last-event-id"
+HEADER_EXPECTED_ENDPOINT: Final = "x-expect-instance"
+HEADER_WORKSPACE: Final = "x-tenant"
+HEADER_RESUME_AFTER: Final = "last-event-id"
 
 # Headers of an endpoint's answer
 
-SIGNATURE: Final = "x-response-seal"
-NOT_RUN: Final = "x-not-executed"
-RETRY_AFTER: Final = "retry-after"
-ENDPOINT_LIMIT: Final = "server-limit"
+HEADER_SIGNATURE: Final = "x-response-seal"
+HEADER_NOT_RUN: Final = "x-not-executed"
+HEADER_RETRY_AFTER: Final = "retry-after"
+HEADER_ENDPOINT_LIMIT: Final = "server-limit"
 
-RESERVED: Final = frozenset(
+RESERVED_HEADERS: Final = frozenset(
     (
-        API_KEY,
-        DEADLINE,
-        EXPECTED_ENDPOINT,
-        WORKSPACE,
+        HEADER_API_KEY,
+        HEADER_DEADLINE,
+        HEADER_EXPECTED_ENDPOINT,
+        HEADER_WORKSPACE,
         "kv-fetch",
         "kv-from",
         "x-expect-version",
@@ -63,7 +63,7 @@
 )
 """Headers that only an instance may set; a caller's own are dropped."""
 
-HOP_BY_HOP: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         "connection",
         "content-length",
@@ -81,19 +81,19 @@
 )
 """Headers that concern one connection or are written anew."""
 
-SINGLE: Final = frozenset(
+SINGLETON_HEADERS: Final = frozenset(
     name.encode()
     for name in (
         "content-length",
         "content-type",
         "host",
         "transfer-encoding",
-        REQUEST_ID,
-        DEADLINE,
-        API_KEY,
-        TOKENS,
-        PARTS,
-        RESUME_AFTER,
+        HEADER_REQUEST_ID,
+        HEADER_DEADLINE,
+        HEADER_API_KEY,
+        HEADER_TOKEN_COUNTS,
+        HEADER_PROMPT_PARTS,
+        HEADER_RESUME_AFTER,
     )
 )
 """Headers that a head may hold once; a second one is ambiguous."""
--- a/citronport/platform/models.py
+++ b/citronport/platform/models.py
@@ -14,7 +14,7 @@
 
 _MILLISECONDS = 1000.0
 
-_REPEATS = {
+_REPEAT_POLICIES = {
     "idempotent": models.RepeatPolicy.IDEMPOTENT,
     "non_idempotent": models.RepeatPolicy.NON_IDEMPOTENT,
     "streaming": models.RepeatPolicy.STREAM,
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Answer:
+class StoreResponse:
     """What the store answered.
 
     Attributes:
@@ -51,7 +51,7 @@
     more: bool = False
 
 
-class _Wire(pydantic.BaseModel):
+class _WireModel(pydantic.BaseModel):
     # Fields that are not known here may come at any time; a wrong type in
     # one that is known makes the whole value unusable.
     model_config = pydantic.ConfigDict(
@@ -59,30 +59,30 @@
     )
 
 
-class _Item(_Wire):
+class _Item(_WireModel):
     key: str
     value: str = ""
     revision: int
     deleted: bool = False
 
 
-class _Range(_Wire):
+class _RangePage(_WireModel):
     items: tuple[_Item, ...]
     revision: int = pydantic.Field(alias="currentRev")
     more: bool = pydantic.Field(default=False, alias="morePages")
 
 
-class _Events(_Wire):
+class _EventsPage(_WireModel):
     events: tuple[_Item, ...]
     revision: int = pydantic.Field(alias="currentRev")
 
 
-class _Split(_Wire):
+class _Split(_WireModel):
     service: str
     weight: float = pydantic.Field(ge=0)
 
 
-class _Route(_Wire):
+class _Route(_WireModel):
     name: str
     host: str
     prefix: str = pydantic.Field(pattern=r"^/(.*/)?$")
@@ -102,14 +102,14 @@
     gap_ms: float | None = pydantic.Field(default=None, alias="gapAimMs")
 
 
-class _Engine(_Wire):
+class _Engine(_WireModel):
     slots: int = pydantic.Field(ge=1)
     cache_tokens: int = pydantic.Field(default=0, alias="kvCapacity")
     # Tokens in one event of a stream.
     stride: int = pydantic.Field(default=1, ge=1)
 
 
-class _Service(_Wire):
+class _Service(_WireModel):
     name: str
     health_path: str = pydantic.Field(default="/healthz", alias="healthPath")
     max_connections: int = pydantic.Field(default=0, alias="maxConns")
@@ -118,14 +118,14 @@
     engine: _Engine | None = None
 
 
-class _Limits(_Wire):
+class _Limits(_WireModel):
     head_bytes: int = pydantic.Field(alias="maxHeaderBytes", gt=0)
     body_bytes: int = pydantic.Field(alias="maxBodyBytes", gt=0)
     head_ms: float = pydantic.Field(alias="headerTimeoutMs", gt=0)
     idle_ms: float = pydantic.Field(alias="idleTimeoutMs", gt=0)
 
 
-class _Tenant(_Wire):
+class _Workspace(_WireModel):
     name: str
     keys: tuple[str, ...] = pydantic.Field(default=(), alias="apiKeys")
     priority: int | None = None
@@ -136,15 +136,15 @@
     burst: float = 0
 
 
-class _Configuration(_Wire):
+class _Configuration(_WireModel):
     version: int
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
     limits: _Limits
-    tenants: tuple[_Tenant, ...] | None = None
+    tenants: tuple[_Workspace, ...] | None = None
 
 
-class _Entry(_Wire):
+class _EndpointRecord(_WireModel):
     service: str
     address: str = pydantic.Field(pattern=r"^\d+\.\d+\.\d+\.\d+:\d+$")
     zone: str
@@ -154,12 +154,12 @@
     born: int = 0
 
 
-def parse_range(body: bytes) -> result.Result[Answer, str]:
+def parse_range(body: bytes) -> result.Result[StoreResponse, str]:
     """Decode a page of the store's items."""
     try:
-        page = _Range.model_validate_json(body)
+        page = _RangePage.model_validate_json(body)
         return result.Ok(
-            Answer(
+            StoreResponse(
                 items=tuple(_make_item(item) for item in page.items),
                 revision=page.revision,
                 more=page.more,
@@ -169,12 +169,12 @@
         return result.Err(_describe(error))
 
 
-def parse_events(body: bytes) -> result.Result[Answer, str]:
+def parse_events(body: bytes) -> result.Result[StoreResponse, str]:
     """Decode the changes that a watch told."""
     try:
-        page = _Events.model_validate_json(body)
+        page = _EventsPage.model_validate_json(body)
         return result.Ok(
-            Answer(
+            StoreResponse(
                 items=tuple(_make_item(item) for item in page.events),
                 revision=page.revision,
             )
@@ -199,24 +199,24 @@
 ) -> result.Result[models.Endpoint, str]:
     """Decode what an endpoint says of itself."""
     try:
-        entry = _Entry.model_validate_json(value)
+        record = _EndpointRecord.model_validate_json(value)
     except ValueError as error:
         return result.Err(_describe(error))
     return result.Ok(
         models.Endpoint(
             name=key.removeprefix(const.PREFIX_ENDPOINTS),
-            service=entry.service,
-            address=entry.address,
-            data_centre=entry.zone,
-            slots=entry.slots,
-            leaving=entry.state == "draining",
-            cold_seconds=entry.cold_ms / _MILLISECONDS,
-            started=entry.born,
+            service=record.service,
+            address=record.address,
+            data_centre=record.zone,
+            slots=record.slots,
+            leaving=record.state == "draining",
+            cold_seconds=record.cold_ms / _MILLISECONDS,
+            started=record.born,
         )
     )
 
 
-def parse_evacuated(key: str) -> str:
+def parse_evacuated_data_centre(key: str) -> str:
     """Return the data centre that a key of the store takes out."""
     return key.removeprefix(const.PREFIX_EVACUATED)
 
@@ -263,7 +263,7 @@
         name=wire.name,
         host=wire.host.lower(),
         prefix=wire.prefix,
-        repeat=_REPEATS[wire.kind],
+        repeat=_REPEAT_POLICIES[wire.kind],
         timeout=timeout,
         objective=wire.target_ms / _MILLISECONDS or timeout,
         tier=wire.priority,
@@ -293,7 +293,7 @@
     )
 
 
-def _make_workspace(wire: _Tenant) -> models.Workspace:
+def _make_workspace(wire: _Workspace) -> models.Workspace:
     return models.Workspace(
         name=wire.name,
         tier=wire.priority,
@@ -315,14 +315,16 @@
     return type(error).__name__
 
 
-def dump_lookup(addresses: tuple[str, ...], keep: float) -> dict[str, Any]:
+def dump_lookup(
+    addresses: tuple[str, ...], ttl_seconds: float
+) -> dict[str, Any]:
     """Return the body of an answer to a caller's lookup.
 
     Args:
         addresses: "ip:port" of the instances to use.
-        keep: how long the caller may keep the answer, seconds.
+        ttl_seconds: how long the caller may keep the answer, seconds.
     """
-    return {"addresses": list(addresses), "ttlS": keep}
+    return {"addresses": list(addresses), "ttlS": ttl_seconds}
 
 
 def dump_error(code: int, name: str, message: str) -> bytes:
--- a/citronport/platform/requests.py
+++ b/citronport/platform/requests.py
@@ -14,7 +14,7 @@
 Fields = collections.abc.Mapping[str, str]
 """Headers by their names in lower case."""
 
-RETRY_AFTER = const.RETRY_AFTER
+RETRY_AFTER = const.HEADER_RETRY_AFTER
 
 _MAX_ID_CHARS = 200
 
@@ -26,23 +26,23 @@
     Attributes:
         request_id: id of this attempt of the caller.
         key: the caller's key; empty without one.
-        patience: how long the caller waits, seconds; None if not said.
+        timeout_seconds: how long the caller waits, seconds; None if not said.
         prompt_tokens: tokens to read.
         output_tokens: most tokens to write.
         expected_tokens: tokens that the caller expects; the most without
             such a guess.
-        counts_tokens: whether it told its tokens.
-        parts: ids of the prompt's parts, in order, with their tokens.
+        has_token_counts: whether it told its tokens.
+        prompt_parts: ids of the prompt's parts, in order, with their tokens.
     """
 
     request_id: str
     key: str
-    patience: float | None
+    timeout_seconds: float | None
     prompt_tokens: int
     output_tokens: int
     expected_tokens: int
-    counts_tokens: bool
-    parts: tuple[tuple[str, int], ...]
+    has_token_counts: bool
+    prompt_parts: tuple[tuple[str, int], ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -54,7 +54,7 @@
         request_id: id of the request that it answers; empty if not said.
         signature: the endpoint's signature; empty if there is none.
         ran: False only if the endpoint says that it did not run it.
-        replaced: whether another endpoint than the one that was meant has
+        misdirected: whether another endpoint than the one that was meant has
             answered, at the same address.
         limit: requests a second that the endpoint takes from all instances
             together, as it wrote it; None if it names none.
@@ -65,7 +65,7 @@
     request_id: str
     signature: str
     ran: bool
-    replaced: bool
+    misdirected: bool
     limit: str | None
     headers: tuple[tuple[str, str], ...]
 
@@ -74,26 +74,28 @@
     fields: Fields,
 ) -> result.Result[CallerRequest, errors.Refusal]:
     """Decode the head of a caller's request."""
-    request_id = fields.get(const.REQUEST_ID, "")
+    request_id = fields.get(const.HEADER_REQUEST_ID, "")
     if not request_id or len(request_id) > _MAX_ID_CHARS:
-        return _refuse("request id")
+        return _make_refusal("request id")
     try:
-        prompt, output, told = _parse_tokens(fields.get(const.TOKENS))
-        parts = _parse_parts(fields.get(const.PARTS, ""))
-        expected = int(fields.get(const.LENGTH_HINT, output))
-        patience = _parse_patience(fields.get(const.DEADLINE))
+        prompt, output, has_token_counts = _parse_tokens(
+            fields.get(const.HEADER_TOKEN_COUNTS)
+        )
+        parts = _parse_parts(fields.get(const.HEADER_PROMPT_PARTS, ""))
+        expected = int(fields.get(const.HEADER_LENGTH_HINT, output))
+        timeout_seconds = _parse_timeout(fields.get(const.HEADER_DEADLINE))
     except ValueError:
-        return _refuse("a number is not valid")
+        return _make_refusal("a number is not valid")
     return result.Ok(
         CallerRequest(
             request_id=request_id,
-            key=fields.get(const.API_KEY, ""),
-            patience=patience,
+            key=fields.get(const.HEADER_API_KEY, ""),
+            timeout_seconds=timeout_seconds,
             prompt_tokens=prompt,
             output_tokens=output,
             expected_tokens=max(0, expected),
-            counts_tokens=told,
-            parts=parts,
+            has_token_counts=has_token_counts,
+            prompt_parts=parts,
         )
     )
 
@@ -105,7 +107,7 @@
     body: bytes,
     endpoint: models.Endpoint,
     workspace: str | None,
-    seconds: float,
+    timeout_seconds: float,
     resume_after: str | None = None,
 ) -> bytes:
     """Return the bytes of a request to an endpoint.
@@ -117,24 +119,25 @@
         body: the caller's.
         endpoint: the only one that may run it.
         workspace: whose request it is; None where no keys are used.
-        seconds: time left for the answer.
+        timeout_seconds: time left for the answer.
         resume_after: id of the last event that the caller has got; None
             to leave what the caller sent.
     """
     headers = {
         name: value
         for name, value in fields.items()
-        if name not in const.HOP_BY_HOP and name not in const.RESERVED
+        if name not in const.HOP_BY_HOP_HEADERS
+        and name not in const.RESERVED_HEADERS
     }
     for name in fields.get("connection", "").split(","):
         headers.pop(name.strip().lower(), None)
     headers["host"] = fields.get("host", endpoint.address)
-    headers[const.DEADLINE] = str(max(1, int(seconds * 1000)))
-    headers[const.EXPECTED_ENDPOINT] = endpoint.name
+    headers[const.HEADER_DEADLINE] = str(max(1, int(timeout_seconds * 1000)))
+    headers[const.HEADER_EXPECTED_ENDPOINT] = endpoint.name
     if workspace is not None:
-        headers[const.WORKSPACE] = workspace
+        headers[const.HEADER_WORKSPACE] = workspace
     if resume_after is not None:
-        headers[const.RESUME_AFTER] = resume_after
+        headers[const.HEADER_RESUME_AFTER] = resume_after
     if body or method not in ("GET", "DELETE", "HEAD"):
         headers["content-length"] = str(len(body))
     lines = [f"{method} {target} HTTP/1.1"]
@@ -146,19 +149,21 @@
 def parse_answer(answer: connection.Answer) -> EndpointAnswer:
     """Decode the head of an endpoint's answer."""
     status = answer.status_code
-    not_run = const.NOT_RUN in answer or status == const.STATUS_MISDIRECTED
+    not_run = (
+        const.HEADER_NOT_RUN in answer or status == const.STATUS_MISDIRECTED
+    )
     headers = tuple(
         (name, value)
         for name, value in answer.items()
-        if name.lower() not in const.HOP_BY_HOP
+        if name.lower() not in const.HOP_BY_HOP_HEADERS
     )
     return EndpointAnswer(
         status=status,
-        request_id=str(answer.get(const.REQUEST_ID, "")),
-        signature=str(answer.get(const.SIGNATURE, "")),
+        request_id=str(answer.get(const.HEADER_REQUEST_ID, "")),
+        signature=str(answer.get(const.HEADER_SIGNATURE, "")),
         ran=not not_run,
-        replaced=status == const.STATUS_MISDIRECTED,
-        limit=answer.get(const.ENDPOINT_LIMIT),
+        misdirected=status == const.STATUS_MISDIRECTED,
+        limit=answer.get(const.HEADER_ENDPOINT_LIMIT),
         headers=headers,
     )
 
@@ -200,11 +205,11 @@
     return tuple(parts)
 
 
-def _parse_patience(text: str | None) -> float | None:
+def _parse_timeout(text: str | None) -> float | None:
     return None if text is None else max(0.0, float(text) / 1000.0)
 
 
-def _refuse(detail: str) -> result.Result[CallerRequest, errors.Refusal]:
+def _make_refusal(detail: str) -> result.Result[CallerRequest, errors.Refusal]:
     return result.Err(
         errors.Refusal(code=errors.Code.BAD_HEADER, detail=detail)
     )
--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -192,8 +192,8 @@
         any length of time.
         """
         patience = START_WAIT_SECONDS
-        if head.patience is not None:
-            patience = min(patience, START_WAIT_SHARE * head.patience)
+        if head.timeout_seconds is not None:
+            patience = min(patience, START_WAIT_SHARE * head.timeout_seconds)
         until = arrived + patience
         while (
             self._context.cluster_state.configuration is None
@@ -239,7 +239,7 @@
         )
         self._context.log.write(
             events.RequestRefused(
-                request=fields.get(wire.REQUEST_ID, ""),
+                request=fields.get(wire.HEADER_REQUEST_ID, ""),
                 route=route.name if route else "",
                 code=int(refusal.code),
                 status=refusal.meaning.status,
@@ -341,8 +341,8 @@
     if workspace is not None and workspace.tier is not None:
         tier = workspace.tier
     seconds = route.timeout
-    if head.patience is not None:
-        seconds = min(seconds, head.patience)
+    if head.timeout_seconds is not None:
+        seconds = min(seconds, head.timeout_seconds)
     return models.Work(
         request_id=head.request_id,
         route=route,
@@ -350,7 +350,7 @@
         prompt_tokens=head.prompt_tokens,
         output_tokens=head.output_tokens,
         expected_tokens=head.expected_tokens,
-        parts=tuple(name for name, _ in head.parts),
+        parts=tuple(name for name, _ in head.prompt_parts),
         arrived=arrived,
         deadline=arrived + seconds,
     )
@@ -362,7 +362,7 @@
     """Return the units that a request uses of its workspace's limit."""
     if not workspace.counts_tokens:
         return 1.0
-    if not head.counts_tokens:
+    if not head.has_token_counts:
         return workspace.plain_tokens
     return float(head.prompt_tokens + head.output_tokens)
 
--- a/citronport/relay/cluster_state.py
+++ b/citronport/relay/cluster_state.py
@@ -159,7 +159,7 @@
         )
 
     def _apply_evacuation(self, item: wire.Item, now: float) -> None:
-        name = wire.parse_evacuated(item.key)
+        name = wire.parse_evacuated_data_centre(item.key)
         if item.value is not None:
             self.evacuated.add(name)
         elif name in self.evacuated:
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -299,7 +299,7 @@
         return tuple(
             sorted(
                 rendezvous.choose_by_weight(
-                    caller, capacities, store_const.LOOKUP_ADDRESSES
+                    caller, capacities, store_const.MAX_LOOKUP_ADDRESSES
                 )
             )
         )
--- a/citronport/relay/limits.py
+++ b/citronport/relay/limits.py
@@ -41,7 +41,7 @@
     context.log.write(
         events.InputRejected(
             code=int(errors.InputFault.BAD_LIMIT),
-            key=f"{const.ENDPOINT_LIMIT} of {endpoint}",
+            key=f"{const.HEADER_ENDPOINT_LIMIT} of {endpoint}",
             revision=0,
             reason=reason,
         )
--- a/citronport/relay/listeners.py
+++ b/citronport/relay/listeners.py
@@ -22,7 +22,7 @@
     """Return the server for callers' requests."""
     limits = make_limits(settings, None)
     server = _make_server(settings.callers, application, limits)
-    server.singleton_headers = wire.SINGLE
+    server.singleton_headers = wire.SINGLETON_HEADERS
     return server
 
 
--- a/citronport/relay/upstream.py
+++ b/citronport/relay/upstream.py
@@ -100,7 +100,7 @@
         answer = requests.parse_answer(head)
         if answer.request_id and answer.request_id != self._request_id:
             return Broken(reason="answer to another request")
-        if answer.replaced:
+        if answer.misdirected:
             return Replaced()
         if not answer.ran:
             return NotRun(answer=answer)
--- a/tests/platform/test_models.py
+++ b/tests/platform/test_models.py
@@ -6,7 +6,7 @@
 import testtools
 
 from citronport.platform import models
-from citronport.scheduler.direct import models as decisions
+from citronport.scheduler.direct import models as scheduler_models
 
 ROUTE = {
     "name": "r1",
@@ -82,7 +82,7 @@
         """Units become seconds, names the project's."""
         found = self.parse().unwrap()
         route = found.routes[0]
-        self.assertEqual(decisions.RepeatPolicy.STREAM, route.repeat)
+        self.assertEqual(scheduler_models.RepeatPolicy.STREAM, route.repeat)
         self.assertEqual("shop.example", route.host)
         self.assertEqual(
             (15.0, 0.8, 0.25), (route.timeout, route.objective, route.max_gap)
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -23,19 +23,19 @@
         self.assertEqual(
             (1.5, 1460, 80, 40),
             (
-                head.patience,
+                head.timeout_seconds,
                 head.prompt_tokens,
                 head.output_tokens,
                 head.expected_tokens,
             ),
         )
-        self.assertEqual((("5c1e", 800), ("91bd", 660)), head.parts)
+        self.assertEqual((("5c1e", 800), ("91bd", 660)), head.prompt_parts)
 
     def test_plain_request(self):
         """Without tokens and without a deadline."""
         head = requests.parse_request({"x-attempt-id": "1"}).unwrap()
-        self.assertFalse(head.counts_tokens)
-        self.assertIsNone(head.patience)
+        self.assertFalse(head.has_token_counts)
+        self.assertIsNone(head.timeout_seconds)
 
     def test_limit_of_an_endpoint(self):
         """A rate, or a reason; nothing is read as no limit or as zero."""
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -62,11 +62,13 @@
         if now >= end and revision < 2:
             return self._answer(2)
         self._ticker.advance(wait)
-        return result.Ok(models.Answer(items=(), revision=revision))
+        return result.Ok(models.StoreResponse(items=(), revision=revision))
 
     def _answer(self, revision):
         item = models.Item(key="op/config", value=b"{}", revision=revision)
-        return result.Ok(models.Answer(items=(item,), revision=revision))
+        return result.Ok(
+            models.StoreResponse(items=(item,), revision=revision)
+        )
 
 
 class OutageTest(testtools.TestCase):
