--- a/citronport/callers/application.py
+++ b/citronport/callers/application.py
@@ -81,9 +81,9 @@
                 errors.Refusal(code=errors.Code.NO_CATALOGUE, retry_after=1)
             )
         scheme, _, key = environ.get("HTTP_AUTHORIZATION", "").partition(" ")
-        accounts = self._published.accounts
-        hashed = catalogue_models.hash_key(accounts.salt, key.strip())
-        name = accounts.entries.get(hashed)
+        key_index = self._published.key_index
+        hashed = catalogue_models.hash_key(key_index.salt, key.strip())
+        name = key_index.entries.get(hashed)
         if scheme.lower() != "bearer" or name is None:
             return result.Err(errors.Refusal(code=errors.Code.UNKNOWN_KEY))
         return result.Ok(fleet.entries[name])
--- a/citronport/catalogue/client.py
+++ b/citronport/catalogue/client.py
@@ -39,7 +39,7 @@
     ticker: clock.Clock,
     deliver: collections.abc.Callable[[Published], None],
     confirm: collections.abc.Callable[[float, int], None],
-    note: collections.abc.Callable[[str, str], None],
+    record_outcome: collections.abc.Callable[[str, str], None],
     is_reader: collections.abc.Callable[[str], bool] = lambda path: True,
 ) -> None:
     """Follow one published value for ever, one open watch at a time.
@@ -53,45 +53,47 @@
         confirm: called after each answer with the clock time at which the
             question was sent, since the answer is at least that fresh, and
             with the version that the platform holds.
-        note: called with the path and the outcome of each question.
+        record_outcome: called with the path and the outcome of each question.
         is_reader: whether this instance is one of those that watch the
             value; others ask now and then only.
     """
     version = 0
-    turn = 0
-    asked = float("-inf")
-    pause = const.RETRY_SECONDS
+    address_index = 0
+    requested_at = float("-inf")
+    max_delay = const.MIN_RETRY_SECONDS
     failing = False
     while True:
-        if not is_reader(path) and ticker.now() - asked < (
-            const.FALLBACK_SECONDS
+        if not is_reader(path) and ticker.now() - requested_at < (
+            const.FALLBACK_POLL_SECONDS
         ):
-            ticker.sleep(const.READER_POLL_SECONDS)
+            ticker.sleep(const.READER_CHECK_SECONDS)
             continue
-        asked = ticker.now()
-        address = addresses[turn % len(addresses)]
+        requested_at = ticker.now()
+        address = addresses[address_index % len(addresses)]
         # A question that is out when a silent platform comes back hides its
         # return until it is given up; one that waits for nothing is soon.
-        held = 0.0 if failing else wait
-        match ask(path, address, version, held):
+        hold_seconds = 0.0 if failing else wait
+        match fetch(path, address, version, hold_seconds):
             case result.Ok(published):
                 failing = False
-                note(path, "unchanged" if published is None else "changed")
-                pause = const.RETRY_SECONDS
+                record_outcome(
+                    path, "unchanged" if published is None else "changed"
+                )
+                max_delay = const.MIN_RETRY_SECONDS
                 if published is not None:
                     version = published.version
                     deliver(published)
-                confirm(asked, version)
+                confirm(requested_at, version)
             case result.Err(reason):
                 failing = True
-                note(path, "failed")
+                record_outcome(path, "failed")
                 logging.warning("%s %s failed: %s.", LOG, path, reason)
-                turn += 1
-                pause = min(2 * pause, const.MAX_RETRY_SECONDS)
-                ticker.sleep(random.uniform(pause / 2, pause))
+                address_index += 1
+                max_delay = min(2 * max_delay, const.MAX_RETRY_SECONDS)
+                ticker.sleep(random.uniform(max_delay / 2, max_delay))
 
 
-def ask(
+def fetch(
     path: str, address: settings.Listener, version: int, wait: float
 ) -> result.Result[Published | None, str]:
     """Ask once for a value newer than a version.
@@ -108,8 +110,8 @@
     client = geventhttpclient.HTTPClient(
         str(address.address),
         address.port,
-        connection_timeout=const.CONNECT_SECONDS,
-        network_timeout=wait + const.CONNECT_SECONDS,
+        connection_timeout=const.CONNECT_TIMEOUT_SECONDS,
+        network_timeout=wait + const.CONNECT_TIMEOUT_SECONDS,
     )
     try:
         answer = client.get(
--- a/citronport/catalogue/delta.py
+++ b/citronport/catalogue/delta.py
@@ -36,7 +36,7 @@
     checksum: int
 
 
-def make_checksum(text: str) -> int:
+def compute_checksum(text: str) -> int:
     """Return the checksum of a document that ``dump`` wrote."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
@@ -44,7 +44,7 @@
 def dump(document: Document) -> str:
     """Return a document as JSON, in a fixed order."""
     ordered = {
-        key: sorted(value, key=_get_name) if _is_items(value) else value
+        key: sorted(value, key=_get_name) if _is_item_list(value) else value
         for key, value in document.items()
     }
     return json.dumps(ordered, sort_keys=True, separators=(",", ":"))
@@ -56,7 +56,7 @@
     dropped: dict[str, list[str]] = {}
     fields: dict[str, Any] = {}
     for key, value in new.items():
-        if not _is_items(value):
+        if not _is_item_list(value):
             fields[key] = value
             continue
         before = {_get_name(item): item for item in old.get(key, ())}
@@ -69,7 +69,7 @@
         fields=fields,
         items=items,
         dropped=dropped,
-        checksum=make_checksum(dump(new)),
+        checksum=compute_checksum(dump(new)),
     )
 
 
@@ -91,12 +91,12 @@
     # published it twice; a wrong catalogue would then stay in force
     # unseen, and each later difference would carry it on.
     text = dump(new)
-    if make_checksum(text) != delta.checksum:
+    if compute_checksum(text) != delta.checksum:
         return None
     return new, text
 
 
-def _is_items(value: Any) -> bool:
+def _is_item_list(value: Any) -> bool:
     return isinstance(value, list)
 
 
--- a/citronport/catalogue/models.py
+++ b/citronport/catalogue/models.py
@@ -7,7 +7,7 @@
 
 from citronport import const
 from citronport import documents
-from citronport.scheduler import models as decisions
+from citronport.scheduler import models as scheduler_models
 
 
 class _Strict(pydantic.BaseModel):
@@ -18,7 +18,7 @@
     """A data centre and whether operators have it in service."""
 
     name: str
-    state: decisions.Service = decisions.Service.IN
+    state: scheduler_models.Service = scheduler_models.Service.IN
 
 
 class InstanceModel(_Strict):
@@ -30,14 +30,14 @@
     caller_port: int
     peer_port: int
     operator_port: int = pydantic.Field(default=0, ge=0, le=65535)
-    state: decisions.Service = decisions.Service.IN
+    state: scheduler_models.Service = scheduler_models.Service.IN
 
 
 class EndpointModel(_Strict):
-    """An endpoint in the catalogue; units as in ``decisions.Endpoint``."""
+    """An endpoint in the catalogue; units as in the scheduler's model."""
 
     name: str
-    kind: decisions.Kind = decisions.Kind.ENGINE
+    kind: scheduler_models.Kind = scheduler_models.Kind.ENGINE
     models: tuple[str, ...] = pydantic.Field(min_length=1)
     data_centre: str
     address: pydantic.IPvAnyAddress
@@ -48,7 +48,7 @@
     prefill_rate: float = pydantic.Field(default=2000.0, gt=0)
     decode_rate: float = pydantic.Field(default=50.0, gt=0)
     cache_tokens: int = pydantic.Field(default=100_000, ge=0)
-    state: decisions.Service = decisions.Service.IN
+    state: scheduler_models.Service = scheduler_models.Service.IN
 
 
 class LimitsModel(_Strict):
@@ -84,17 +84,17 @@
     entries: tuple[EntryModel, ...] = ()
 
     @pydantic.model_validator(mode="after")
-    def check_names(self) -> "CatalogueModel":
+    def check_consistency(self) -> "CatalogueModel":
         """Refuse what stands twice and data centres not listed."""
         for part in ("data_centres", "endpoints", "entries"):
-            _check_once(part, "name", [i.name for i in getattr(self, part)])
+            _check_unique(part, "name", [i.name for i in getattr(self, part)])
         # Two owners would each fill an endpoint that has two names, and
         # overfeed its cold start together.
-        places = [f"{e.address}:{e.port}" for e in self.endpoints]
-        _check_once("endpoints", "address", places)
+        addresses = [f"{e.address}:{e.port}" for e in self.endpoints]
+        _check_unique("endpoints", "address", addresses)
         # A key of two entries would be served in the class of either.
         keys = [e.key_sha256 for e in self.entries]
-        _check_once("entries", "key_sha256", keys)
+        _check_unique("entries", "key_sha256", keys)
         known = {item.name for item in self.data_centres}
         for index, endpoint in enumerate(self.endpoints):
             if endpoint.data_centre not in known:
@@ -105,7 +105,7 @@
         return self
 
 
-def _check_once(part: str, field: str, values: list[str]) -> None:
+def _check_unique(part: str, field: str, values: list[str]) -> None:
     seen = set()
     for index, value in enumerate(values):
         if value in seen:
@@ -127,9 +127,9 @@
     return documents.parse(text, CatalogueModel)
 
 
-def make_fleet(catalogue: CatalogueModel) -> decisions.Fleet:
-    """Return the catalogue as the decisions see it."""
-    return decisions.Fleet(
+def make_fleet(catalogue: CatalogueModel) -> scheduler_models.Fleet:
+    """Return the catalogue as the scheduler sees it."""
+    return scheduler_models.Fleet(
         version=catalogue.version,
         data_centres={d.name: d.state for d in catalogue.data_centres},
         endpoints={e.name: _make_endpoint(e) for e in catalogue.endpoints},
@@ -137,29 +137,29 @@
     )
 
 
-def _make_endpoint(model: EndpointModel) -> decisions.Endpoint:
+def _make_endpoint(model: EndpointModel) -> scheduler_models.Endpoint:
     fields = model.model_dump(exclude={"address", "port"})
-    return decisions.Endpoint(
+    return scheduler_models.Endpoint(
         address=f"{model.address}:{model.port}", **fields
     )
 
 
-def _make_entry(model: EntryModel) -> decisions.Entry:
-    return decisions.Entry(
+def _make_entry(model: EntryModel) -> scheduler_models.Entry:
+    return scheduler_models.Entry(
         name=model.name,
         workspace=model.owner,
         tier=model.tier,
         weight=model.weight,
-        limits=decisions.Limits(**model.limits.model_dump()),
+        limits=scheduler_models.Limits(**model.limits.model_dump()),
     )
 
 
 def make_instances(
     listed: InstanceListModel,
-) -> dict[str, decisions.Instance]:
-    """Return the instance list as the decisions see it."""
+) -> dict[str, scheduler_models.Instance]:
+    """Return the instance list as the scheduler sees it."""
     return {
-        item.name: decisions.Instance(
+        item.name: scheduler_models.Instance(
             **{**item.model_dump(), "address": str(item.address)}
         )
         for item in listed.instances
--- a/citronport/catalogue/store.py
+++ b/citronport/catalogue/store.py
@@ -12,13 +12,13 @@
 from citronport.catalogue import const
 from citronport.catalogue import delta
 from citronport.catalogue import models
-from citronport.scheduler import models as decisions
+from citronport.scheduler import models as scheduler_models
 
 LOG = "platform:"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Accounts:
+class KeyIndex:
     """How workspace keys are found.
 
     Attributes:
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Held:
+class _StoredValue:
     """A value in force, and how it came to be."""
 
     published: client.Published
@@ -47,24 +47,26 @@
     """
 
     def __init__(self) -> None:
-        self.fleet: decisions.Fleet | None = None
-        self.accounts = Accounts(salt="", entries={})
-        self.instances: dict[str, decisions.Instance] = {}
-        self._held: dict[str, _Held] = {}
+        self.fleet: scheduler_models.Fleet | None = None
+        self.key_index = KeyIndex(salt="", entries={})
+        self.instances: dict[str, scheduler_models.Instance] = {}
+        self._values: dict[str, _StoredValue] = {}
         self._listeners: list[collections.abc.Callable[[str], None]] = []
 
-    def listen(self, listener: collections.abc.Callable[[str], None]) -> None:
+    def add_listener(
+        self, listener: collections.abc.Callable[[str], None]
+    ) -> None:
         """Call a function with the path of each value that changes."""
         self._listeners.append(listener)
 
     def get_versions(self) -> dict[str, int]:
         """Return the version of each value by its path."""
-        return {p: h.published.version for p, h in self._held.items()}
+        return {p: h.published.version for p, h in self._values.items()}
 
     def get(self, path: str) -> client.Published | None:
         """Return a value as it was published, for a peer."""
-        held = self._held.get(path)
-        return held.published if held else None
+        stored = self._values.get(path)
+        return stored.published if stored else None
 
     def find_deltas(self, path: str, version: int) -> list[delta.Delta]:
         """Return how a version became the one in force.
@@ -72,46 +74,46 @@
         Returns:
             The differences in order; empty if not all of them are kept.
         """
-        held = self._held.get(path)
-        if held is None:
+        stored = self._values.get(path)
+        if stored is None:
             return []
-        found = [d for d in held.history if d.base >= version]
+        found = [d for d in stored.history if d.base >= version]
         if not found or found[0].base != version:
             return []
         return found
 
-    def offer(self, published: client.Published) -> bool:
+    def apply(self, published: client.Published) -> bool:
         """Take a value if it is newer and valid; return whether taken."""
         if not self._is_newer(published.path, published.version):
             return False
         match documents.load(published.value):
             case result.Ok(raw):
-                return self._take(published, raw, None)
+                return self._apply_document(published, raw, None)
             case result.Err(reason):
-                _refuse(published.path, reason)
+                _log_rejected(published.path, reason)
                 return False
 
-    def offer_delta(self, path: str, change: delta.Delta) -> bool:
+    def apply_delta(self, path: str, change: delta.Delta) -> bool:
         """Take a difference; return False if the whole value is needed."""
         if not self._is_newer(path, change.version):
             return True
-        held = self._held.get(path)
-        if held is None or held.published.version != change.base:
+        stored = self._values.get(path)
+        if stored is None or stored.published.version != change.base:
             return False
-        applied = delta.apply_delta(held.document, change)
+        applied = delta.apply_delta(stored.document, change)
         if applied is None:
             return False
         document, text = applied
         published = client.Published(
             path=path, version=change.version, value=text
         )
-        return self._take(published, document, change)
+        return self._apply_document(published, document, change)
 
     def _is_newer(self, path: str, version: int) -> bool:
-        held = self._held.get(path)
-        return held is None or version > held.published.version
+        stored = self._values.get(path)
+        return stored is None or version > stored.published.version
 
-    def _take(
+    def _apply_document(
         self,
         published: client.Published,
         document: delta.Document,
@@ -119,43 +121,43 @@
     ) -> bool:
         path = published.path
         if path == const.PATH_CATALOGUE:
-            taken = self._take_catalogue(published, document)
+            taken = self._apply_catalogue(published, document)
         else:
-            taken = self._take_instances(published, document)
+            taken = self._apply_instances(published, document)
         if not taken:
             return False
-        self._hold(published, document, change)
+        self._store_value(published, document, change)
         logging.info("%s %s is at version %d.", LOG, path, published.version)
         for listener in self._listeners:
             listener(path)
         return True
 
-    def _hold(
+    def _store_value(
         self,
         published: client.Published,
         document: delta.Document,
         change: delta.Delta | None,
     ) -> None:
-        held = self._held.get(published.path)
+        stored = self._values.get(published.path)
         history: collections.deque[delta.Delta] = collections.deque(
-            maxlen=const.KEPT_DELTAS
+            maxlen=const.MAX_KEPT_DELTAS
         )
-        if held is not None:
-            history = held.history
+        if stored is not None:
+            history = stored.history
             history.append(
                 change
                 or delta.make_delta(
-                    held.document,
+                    stored.document,
                     document,
-                    held.published.version,
+                    stored.published.version,
                     published.version,
                 )
             )
-        self._held[published.path] = _Held(
+        self._values[published.path] = _StoredValue(
             published=published, document=document, history=history
         )
 
-    def _take_catalogue(
+    def _apply_catalogue(
         self, published: client.Published, document: delta.Document
     ) -> bool:
         checked = documents.validate(
@@ -164,17 +166,17 @@
         match checked:
             case result.Ok(catalogue):
                 self.fleet = models.make_fleet(catalogue)
-                self.accounts = Accounts(
+                self.key_index = KeyIndex(
                     salt=catalogue.key_salt,
                     entries={e.key_sha256: e.name for e in catalogue.entries},
                 )
                 return True
             case result.Err(reason):
                 # The last good catalogue stays in force, whole.
-                _refuse(published.path, reason)
+                _log_rejected(published.path, reason)
                 return False
 
-    def _take_instances(
+    def _apply_instances(
         self, published: client.Published, document: delta.Document
     ) -> bool:
         checked = documents.validate(
@@ -185,10 +187,10 @@
                 self.instances = models.make_instances(listed)
                 return True
             case result.Err(reason):
-                _refuse(published.path, reason)
+                _log_rejected(published.path, reason)
                 return False
 
 
-def _refuse(path: str, reason: str) -> None:
+def _log_rejected(path: str, reason: str) -> None:
     name = path.rsplit("/", 1)[-1]
     logging.error("%s %s refused: %s.", LOG, name, reason)
--- a/citronport/core.py
+++ b/citronport/core.py
@@ -131,7 +131,7 @@
         self._stopped = gevent_event.Event()
         self._leaving = False
         self.status = self._make_status_reader()
-        self.published.listen(self._apply_published)
+        self.published.add_listener(self._apply_published)
 
     def serve(self) -> None:
         """Run until a stop is ordered and the work in progress is done."""
@@ -223,13 +223,13 @@
         watches = (
             (
                 catalogue_const.PATH_CATALOGUE,
-                catalogue_const.WATCH_SECONDS,
+                catalogue_const.CATALOGUE_WATCH_SECONDS,
                 lambda asked, version: None,
                 self.gossip.reads_from_platform,
             ),
             (
                 catalogue_const.PATH_INSTANCES,
-                catalogue_const.CONFIRM_SECONDS,
+                catalogue_const.INSTANCE_LIST_WATCH_SECONDS,
                 self.assignment.record_list_confirmation,
                 # Each reads the list itself: a lease rests on it.
                 lambda path: True,
@@ -243,7 +243,7 @@
                 wait,
                 self.settings.platform,
                 self.ticker,
-                self.published.offer,
+                self.published.apply,
                 confirm,
                 self.telemetry.counts.record_platform_read,
                 is_reader,
--- a/citronport/instances/gossip.py
+++ b/citronport/instances/gossip.py
@@ -50,7 +50,7 @@
         self._silent: frozenset[str] = frozenset()
         self._synced: set[str] = set()
         self._requested: dict[str, tuple[int, float]] = {}
-        published.listen(self._announce_change)
+        published.add_listener(self._announce_change)
 
     def get_silent_instances(self) -> frozenset[str]:
         """Return the names of the unreachable instances."""
@@ -114,7 +114,7 @@
             case messages.Difference():
                 self._handle_difference(sender, message)
             case messages.Value():
-                self._published.offer(
+                self._published.apply(
                     catalogue_client.Published(**dataclasses.asdict(message))
                 )
             case messages.Release():
@@ -174,7 +174,7 @@
     ) -> None:
         fields = dataclasses.asdict(message)
         path = fields.pop("path")
-        if not self._published.offer_delta(path, delta.Delta(**fields)):
+        if not self._published.apply_delta(path, delta.Delta(**fields)):
             self._links.send(sender, messages.Want(path=path, version=0))
 
     def reads_from_platform(self, path: str) -> bool:
--- a/citronport/operators/status.py
+++ b/citronport/operators/status.py
@@ -59,7 +59,7 @@
         self._parts = parts
         self._started = parts.ticker.now()
         self._changed = self._started
-        parts.published.listen(self._note_change)
+        parts.published.add_listener(self._note_change)
 
     def read(self) -> models.Status:
         """Return the status as it is now."""
--- a/measures/capacity/aims.py
+++ b/measures/capacity/aims.py
@@ -26,8 +26,8 @@
         * (at["one change taken, s"] + at["scheduler told of a change, s"])
         + LIST_CHANGES_PER_SECOND * at["instance gone, owners ranked, s"]
     )
-    watches = INSTANCES / catalogue_const.CONFIRM_SECONDS
-    asks = (INSTANCES - READERS) / catalogue_const.FALLBACK_SECONDS
+    watches = INSTANCES / catalogue_const.INSTANCE_LIST_WATCH_SECONDS
+    asks = (INSTANCES - READERS) / catalogue_const.FALLBACK_POLL_SECONDS
     return {
         "reports, KB/s sent and received": reports / 1000,
         "changes, KB/s": spread / 1000,
@@ -40,7 +40,8 @@
         "control state, MB": at["control state, MB"],
         "platform reads, 1/s": watches
         + asks
-        + READERS * (1 / catalogue_const.WATCH_SECONDS + CHANGES_PER_SECOND),
+        + READERS
+        * (1 / catalogue_const.CATALOGUE_WATCH_SECONDS + CHANGES_PER_SECOND),
         "platform reads in an outage, 1/s": INSTANCES
         * 2
         / (0.75 * catalogue_const.MAX_RETRY_SECONDS),
--- a/measures/capacity/catalogue.py
+++ b/measures/capacity/catalogue.py
@@ -104,15 +104,15 @@
     row["whole YAML taken, s"] = _time_offer(publish(first, as_yaml))
     row["whole JSON taken, s"] = _time_offer(publish(first, as_json))
     holder = store.Store()
-    holder.offer(publish(first))
+    holder.apply(publish(first))
     peer = store.Store()
-    peer.offer(publish(first))
-    holder.offer(publish(second))
+    peer.apply(publish(first))
+    holder.apply(publish(second))
     (found,) = holder.find_deltas(PATH, 1)
     encoded = encode(found)
     row["one change to a peer, bytes"] = float(len(encoded))
     began = time.process_time()
-    peer.offer_delta(PATH, found)
+    peer.apply_delta(PATH, found)
     row["one change taken, s"] = time.process_time() - began
     row.update(_measure_owners(first, holder))
     row["control state, MB"] = _measure_memory(as_json)
@@ -121,7 +121,7 @@
 
 def _time_offer(published: client.Published) -> float:
     began = time.process_time()
-    store.Store().offer(published)
+    store.Store().apply(published)
     return time.process_time() - began
 
 
@@ -165,7 +165,7 @@
     published = client.Published(path=PATH, version=1, value=text)
     tracemalloc.start()
     holder = store.Store()
-    holder.offer(published)
+    holder.apply(published)
     owners = ownership.Ownership("entry-0", 0.0)
     owners.update_members(make_members(), 1, 0.0)
     owners.update_endpoints(
--- a/tests/callers/test_hostile.py
+++ b/tests/callers/test_hostile.py
@@ -54,7 +54,7 @@
         ],
     }
     published = store.Store()
-    published.offer(
+    published.apply(
         catalogue_client.Published(
             path=catalogue_const.PATH_CATALOGUE,
             version=1,
--- a/tests/catalogue/test_client.py
+++ b/tests/catalogue/test_client.py
@@ -9,32 +9,32 @@
 from citronport.catalogue import client
 from citronport.catalogue import const
 
-FORCE_SECONDS = 9.0
+MAX_DELAY_SECONDS = 9.0
 """Within which an edit is in force everywhere."""
 
 
-class _KnownError(Exception):
+class _EditDeliveredError(Exception):
     """The edit has arrived."""
 
 
-class AwayPlatform:
+class UnresponsivePlatform:
     """A platform that falls silent for a while, on the paused clock.
 
     A question that is asked meanwhile, or was held then, stays without an
     answer, also once the platform is back.
     """
 
-    def __init__(self, ticker, away_from, back_at):
+    def __init__(self, ticker, silent_from, back_at):
         self._ticker = ticker
-        self._away = (away_from, back_at)
+        self._silent = (silent_from, back_at)
 
-    def ask(self, path, address, version, wait):
+    def fetch(self, path, address, version, wait):
         """Return the edit that is published as the platform returns."""
         held = wait if version else 0.0
-        start, end = self._away
+        start, end = self._silent
         now = self._ticker.now()
         if start <= now < end or now < start < now + held:
-            self._ticker.advance(held + const.CONNECT_SECONDS)
+            self._ticker.advance(held + const.CONNECT_TIMEOUT_SECONDS)
             return result.Err("TimeoutError")
         newest = 2 if now >= end else 1
         if version < newest:
@@ -48,28 +48,28 @@
 class OutageTest(testtools.TestCase):
     """One instance; nobody else tells it of edits."""
 
-    def find_delay(self, away_seconds):
+    def measure_delay(self, away_seconds):
         """Return the time from the platform's return to the edit."""
         ticker = clock.ManualClock(100.0)
         back_at = 110.0 + away_seconds
-        platform = AwayPlatform(ticker, 110.0, back_at)
-        self.patch(client, "ask", platform.ask)
+        platform = UnresponsivePlatform(ticker, 110.0, back_at)
+        self.patch(client, "fetch", platform.fetch)
 
         def deliver(published):
             if published.version == 2:
-                raise _KnownError
+                raise _EditDeliveredError
 
         try:
             client.watch(
                 const.PATH_CATALOGUE,
-                const.WATCH_SECONDS,
+                const.CATALOGUE_WATCH_SECONDS,
                 ("platform",),
                 ticker,
                 deliver,
-                lambda asked, version: None,
+                lambda requested_at, version: None,
                 lambda path, outcome: None,
             )
-        except _KnownError:
+        except _EditDeliveredError:
             return ticker.now() - back_at
 
     def test_edit_is_in_force_soon_after_an_outage(self):
@@ -84,7 +84,7 @@
         self.patch(client.logging, "warning", lambda *words: None)
         late = {}
         for seconds in range(1, 60):
-            delay = self.find_delay(seconds)
-            if delay > FORCE_SECONDS:
+            delay = self.measure_delay(seconds)
+            if delay > MAX_DELAY_SECONDS:
                 late[seconds] = delay
         self.assertEqual({}, late)
--- a/tests/catalogue/test_store.py
+++ b/tests/catalogue/test_store.py
@@ -50,17 +50,17 @@
         self.second = make_document(2, ["a", "b"])
         self.second["endpoints"][1]["state"] = "leaving"
         self.store = store.Store()
-        self.store.offer(publish(self.first))
-        self.store.offer(publish(self.second))
+        self.store.apply(publish(self.first))
+        self.store.apply(publish(self.second))
 
     def test_difference_leads_to_the_same_value(self):
         """A peer that is one behind gets what changed only."""
         peer = store.Store()
-        peer.offer(publish(self.first))
+        peer.apply(publish(self.first))
         (change,) = self.store.find_deltas(PATH, 1)
         self.assertEqual(["b"], [i["name"] for i in change.items["endpoints"]])
         self.assertEqual(["c"], change.dropped["endpoints"])
-        self.assertTrue(peer.offer_delta(PATH, change))
+        self.assertTrue(peer.apply_delta(PATH, change))
         self.assertEqual(self.store.fleet, peer.fleet)
 
     def test_peer_with_another_document_needs_the_whole(self):
@@ -72,9 +72,9 @@
         other = copy.deepcopy(self.first)
         other["endpoints"][0]["port"] = 9001
         peer = store.Store()
-        peer.offer(publish(other))
+        peer.apply(publish(other))
         (change,) = self.store.find_deltas(PATH, 1)
-        self.assertFalse(peer.offer_delta(PATH, change))
+        self.assertFalse(peer.apply_delta(PATH, change))
         self.assertEqual(1, peer.get_versions()[PATH])
 
     def test_older_and_wrong_values_change_nothing(self):
@@ -83,9 +83,9 @@
         (change,) = self.store.find_deltas(PATH, 1)
         bad = make_document(3, ["a", "a"])
         with self.assertLogs(level="ERROR"):
-            self.assertFalse(self.store.offer(publish(bad)))
-        self.assertFalse(self.store.offer(publish(self.first)))
-        self.assertTrue(self.store.offer_delta(PATH, change))
+            self.assertFalse(self.store.apply(publish(bad)))
+        self.assertFalse(self.store.apply(publish(self.first)))
+        self.assertTrue(self.store.apply_delta(PATH, change))
         self.assertIs(fleet, self.store.fleet)
 
     def test_history_that_does_not_reach_back(self):
@@ -97,6 +97,6 @@
         turned = copy.deepcopy(self.second)
         turned["endpoints"].reverse()
         self.assertEqual(
-            delta.make_checksum(delta.dump(self.second)),
-            delta.make_checksum(delta.dump(turned)),
+            delta.compute_checksum(delta.dump(self.second)),
+            delta.compute_checksum(delta.dump(turned)),
         )
