--- a/citronport/core.py
+++ b/citronport/core.py
@@ -200,16 +200,16 @@
             ),
         )
 
-    def _make_status_reader(self) -> status.Reader:
-        return status.Reader(
-            status.Parts(
+    def _make_status_reader(self) -> status.StatusReader:
+        return status.StatusReader(
+            status.StatusSources(
                 settings=self.settings,
                 incarnation=self.incarnation,
                 ticker=self.ticker,
                 published=self.published,
                 counts=self.telemetry.counts,
                 summarize=self.scheduler.summarize,
-                get_owned=lambda: self.assignment.current.owned,
+                get_owned_endpoints=lambda: self.assignment.current.owned,
                 count_running=self.executor.count_running,
                 is_warm=self.scheduler.is_warm,
                 is_linked=lambda n: self.peers.get_incarnation(n) is not None,
--- a/citronport/operators/client.py
+++ b/citronport/operators/client.py
@@ -14,22 +14,22 @@
 from citronport.operators import const
 from citronport.operators import models
 
-REFUSED = os.strerror(errno.ECONNREFUSED)
+CONNECTION_REFUSED = os.strerror(errno.ECONNREFUSED)
 """Reason of an address at which nothing listens."""
 
 _STATUS = pydantic.TypeAdapter(models.Status)
 
-Progress = collections.abc.Callable[[int, int], None]
+ProgressCallback = collections.abc.Callable[[int, int], None]
 
 
-def read_fleet(
-    addresses: list[str], note_progress: Progress
+def fetch_statuses(
+    addresses: list[str], report_progress: ProgressCallback
 ) -> list[models.Answer]:
     """Ask instances, and all others that they know, for their status.
 
     Args:
         addresses: operators' "ip:port" to start from.
-        note_progress: called with how many were asked and how many are
+        report_progress: called with how many were asked and how many are
             known, after each answer.
 
     Returns:
@@ -37,46 +37,50 @@
     """
     known = {address: "" for address in addresses}
     answers: dict[str, models.Answer] = {}
-    workers = pool.Pool(const.ASK_AT_ONCE)
+    greenlets = pool.Pool(const.MAX_CONCURRENT_REQUESTS)
     while len(answers) < len(known):
-        asked = [a for a in known if a not in answers]
-        for address, answer in workers.imap_unordered(_ask, asked):
+        pending = [a for a in known if a not in answers]
+        for address, answer in greenlets.imap_unordered(
+            _fetch_status, pending
+        ):
             answers[address] = answer
             if isinstance(answer, models.Status):
                 for peer in answer.peers:
                     if peer.operators:
                         known[peer.operators] = peer.name
-            note_progress(len(answers), len(known))
+            report_progress(len(answers), len(known))
     named = [_add_name(a, known) for a in answers.values()]
-    return sorted(named, key=_get_order)
+    return sorted(named, key=_get_sort_key)
 
 
-def order_drain(address: str) -> result.Result[None, str]:
+def request_drain(address: str) -> result.Result[None, str]:
     """Order an instance to stop gracefully."""
     return _call(address, "POST", const.PATH_DRAIN).map(lambda _: None)
 
 
-def wait_for_end(
-    address: str, note_left: collections.abc.Callable[[int], None]
+def wait_for_exit(
+    address: str, report_running: collections.abc.Callable[[int], None]
 ) -> bool:
     """Wait until a draining instance has ended; return whether it has.
 
     Args:
         address: operators' "ip:port" of the instance.
-        note_left: called with the requests in progress, again and again.
+        report_running: called with the requests in progress, again and again.
     """
-    end = time.monotonic() + const.DRAIN_SECONDS
+    end = time.monotonic() + const.DRAIN_TIMEOUT_SECONDS
     while time.monotonic() < end:
-        match _ask(address):
+        match _fetch_status(address):
             case (_, models.Status() as status):
-                note_left(sum(tier.running for tier in status.tiers))
-            case (_, models.Unreachable(reason=reason)) if reason == REFUSED:
+                report_running(sum(tier.running for tier in status.tiers))
+            case (_, models.Unreachable(reason=reason)) if (
+                reason == CONNECTION_REFUSED
+            ):
                 return True
-        time.sleep(const.POLL_SECONDS)
+        time.sleep(const.DRAIN_POLL_SECONDS)
     return False
 
 
-def _ask(address: str) -> tuple[str, models.Answer]:
+def _fetch_status(address: str) -> tuple[str, models.Answer]:
     match _call(address, "GET", const.PATH_STATUS):
         case result.Err(reason):
             return address, models.Unreachable(
@@ -98,7 +102,7 @@
     return dataclasses.replace(answer, name=known[answer.address])
 
 
-def _get_order(answer: models.Answer) -> str:
+def _get_sort_key(answer: models.Answer) -> str:
     match answer:
         case models.Status():
             return answer.instance
@@ -111,8 +115,8 @@
     client = geventhttpclient.HTTPClient(
         host.strip("[]"),
         int(port),
-        connection_timeout=const.ASK_SECONDS,
-        network_timeout=const.ASK_SECONDS,
+        connection_timeout=const.REQUEST_TIMEOUT_SECONDS,
+        network_timeout=const.REQUEST_TIMEOUT_SECONDS,
     )
     try:
         answer = client.request(method, path)
--- a/citronport/operators/const.py
+++ b/citronport/operators/const.py
@@ -11,18 +11,18 @@
 """Connections served at once. A scraper and a few operators need less; a
 looping script must not take the callers' file descriptors."""
 
-ASK_SECONDS: Final = 3.0
+REQUEST_TIMEOUT_SECONDS: Final = 3.0
 """How long a status command waits for one instance."""
 
-ASK_AT_ONCE: Final = 50
+MAX_CONCURRENT_REQUESTS: Final = 50
 """Instances asked at once: 510 answer within seconds, and the command
 stays far from the usual limit of open files."""
 
-DRAIN_SECONDS: Final = 660.0
+DRAIN_TIMEOUT_SECONDS: Final = 660.0
 """How long to wait for the end of a drain: the longest deadline of a
 request, and a minute."""
 
-POLL_SECONDS: Final = 0.5
+DRAIN_POLL_SECONDS: Final = 0.5
 """Pause between two looks at an instance that drains."""
 
 MAX_STATUS_BYTES: Final = 4_000_000
--- a/citronport/operators/overview.py
+++ b/citronport/operators/overview.py
@@ -36,15 +36,17 @@
     """
     reached = [a for a in answers if isinstance(a, models.Status)]
     tables = [
-        _make_instances(answers),
-        _make_data_centres(reached),
-        _make_endpoints(reached),
-        _make_tiers(reached),
+        _make_instance_table(answers),
+        _make_data_centre_table(reached),
+        _make_endpoint_table(reached),
+        _make_tier_table(reached),
     ]
-    return "\n\n".join(_layout(table, styled) for table in tables if table)
+    return "\n\n".join(
+        _format_table(table, styled) for table in tables if table
+    )
 
 
-def _make_instances(answers: list[models.Answer]) -> list[Row]:
+def _make_instance_table(answers: list[models.Answer]) -> list[Row]:
     rows = [
         (
             "INSTANCE",
@@ -60,7 +62,7 @@
     for answer in answers:
         match answer:
             case models.Status():
-                rows.append(_make_instance(answer))
+                rows.append(_make_instance_row(answer))
             case models.Unreachable():
                 name = answer.name or answer.address
                 state = f"unreachable: {answer.reason}"
@@ -68,7 +70,7 @@
     return rows
 
 
-def _make_instance(status: models.Status) -> Row:
+def _make_instance_row(status: models.Status) -> Row:
     return (
         status.instance,
         status.data_centre,
@@ -81,7 +83,7 @@
     )
 
 
-def _make_data_centres(reached: list[models.Status]) -> list[Row]:
+def _make_data_centre_table(reached: list[models.Status]) -> list[Row]:
     newest = max(reached, key=lambda s: s.catalogue_version, default=None)
     if newest is None or not newest.data_centres:
         return []
@@ -97,14 +99,14 @@
     return rows
 
 
-def _make_endpoints(reached: list[models.Status]) -> list[Row]:
+def _make_endpoint_table(reached: list[models.Status]) -> list[Row]:
     rows = [
         (
             endpoint.name,
             status.instance,
             endpoint.data_centre,
             endpoint.listed,
-            _name_state(endpoint),
+            _get_state(endpoint),
             f"{endpoint.running}/{endpoint.concurrency}",
             f"{endpoint.reported_running}+{endpoint.reported_queued}",
         )
@@ -113,7 +115,7 @@
     ]
     if not rows:
         return []
-    head = (
+    header = (
         "ENDPOINT",
         "OWNER",
         "DATA CENTRE",
@@ -122,22 +124,24 @@
         "RUNNING",
         "REPORTED",
     )
-    return [head, *sorted(rows)]
+    return [header, *sorted(rows)]
 
 
-def _name_state(endpoint: models.EndpointStatus) -> str:
+def _get_state(endpoint: models.EndpointStatus) -> str:
     if not endpoint.connected:
         return "unreachable"
     return "cold" if endpoint.cold else "warm"
 
 
-def _make_tiers(reached: list[models.Status]) -> list[Row]:
+def _make_tier_table(reached: list[models.Status]) -> list[Row]:
     rows = [("TIER", "RUNNING", "QUEUED TOKENS", "GOODPUT", "LATE", "REFUSED")]
     numbers = sorted({t.tier for s in reached for t in s.tiers})
     for number in numbers:
-        same = [t for s in reached for t in s.tiers if t.tier == number]
+        tier_statuses = [
+            t for s in reached for t in s.tiers if t.tier == number
+        ]
         outcomes: collections.Counter[str] = collections.Counter()
-        for tier in same:
+        for tier in tier_statuses:
             outcomes.update(tier.outcomes)
         refused = ", ".join(
             f"{code}: {count}"
@@ -147,8 +151,8 @@
         rows.append(
             (
                 str(number),
-                str(sum(t.running for t in same)),
-                str(sum(t.queued_tokens for t in same)),
+                str(sum(t.running for t in tier_statuses)),
+                str(sum(t.queued_tokens for t in tier_statuses)),
                 str(outcomes[telemetry.OUTCOME_WHOLE]),
                 str(outcomes[telemetry.OUTCOME_LATE]),
                 refused or "0",
@@ -157,7 +161,7 @@
     return rows if len(rows) > 1 else []
 
 
-def _layout(rows: list[Row], styled: bool) -> str:
+def _format_table(rows: list[Row], styled: bool) -> str:
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = [
         "  ".join(
@@ -166,11 +170,11 @@
         for row in rows
     ]
     if styled:
-        lines = [f"{_BOLD}{lines[0]}{_RESET}", *map(_colour, lines[1:])]
+        lines = [f"{_BOLD}{lines[0]}{_RESET}", *map(_colour_row, lines[1:])]
     return "\n".join(lines)
 
 
-def _colour(line: str) -> str:
+def _colour_row(line: str) -> str:
     if "unreachable" in line:
         return f"{_RED}{line}{_RESET}"
     return line
--- a/citronport/operators/server.py
+++ b/citronport/operators/server.py
@@ -24,18 +24,18 @@
     """The WSGI application for operators.
 
     Args:
-        describe: returns the status of this instance.
+        read_status: returns the status of this instance.
         counts: what was counted since its start.
         drain: orders a graceful stop.
     """
 
     def __init__(
         self,
-        describe: collections.abc.Callable[[], models.Status],
+        read_status: collections.abc.Callable[[], models.Status],
         counts: telemetry.Counts,
         drain: collections.abc.Callable[[], None],
     ) -> None:
-        self._describe = describe
+        self._read_status = read_status
         self._counts = counts
         self._drain = drain
 
@@ -45,41 +45,43 @@
         """Answer one HTTP request."""
         match (environ["REQUEST_METHOD"], environ["PATH_INFO"]):
             case ("GET", const.PATH_METRICS):
-                body, kind = metrics.render(self._describe(), self._counts)
-                return _answer(start_response, "200 OK", body, kind)
+                body, content_type = metrics.render(
+                    self._read_status(), self._counts
+                )
+                return _respond(start_response, "200 OK", body, content_type)
             case ("GET", const.PATH_STATUS):
-                status = dataclasses.asdict(self._describe())
-                return _answer_json(start_response, "200 OK", status)
+                status = dataclasses.asdict(self._read_status())
+                return _respond_json(start_response, "200 OK", status)
             case ("GET", const.PATH_READY):
-                return self._answer_ready(start_response)
+                return self._respond_ready(start_response)
             case ("POST", const.PATH_DRAIN):
-                return self._answer_drain(start_response)
+                return self._respond_drain(start_response)
             case (_, const.PATH_DRAIN):
-                return _answer_json(
+                return _respond_json(
                     start_response, "405 Method Not Allowed", {"use": "POST"}
                 )
             case _:
-                return _answer_json(start_response, "404 Not Found", {})
+                return _respond_json(start_response, "404 Not Found", {})
 
-    def _answer_ready(self, start_response: StartResponse) -> list[bytes]:
-        status = self._describe()
+    def _respond_ready(self, start_response: StartResponse) -> list[bytes]:
+        status = self._read_status()
         missing = [
             name
-            for name, absent in (
+            for name, is_missing in (
                 ("catalogue", not status.catalogue_version),
                 ("instance list", not status.list_version),
                 ("leaving", status.leaving),
             )
-            if absent
+            if is_missing
         ]
-        line = "503 Service Unavailable" if missing else "200 OK"
+        status_line = "503 Service Unavailable" if missing else "200 OK"
         body = {"ready": not missing, "because": missing}
-        return _answer_json(start_response, line, body)
+        return _respond_json(start_response, status_line, body)
 
-    def _answer_drain(self, start_response: StartResponse) -> list[bytes]:
+    def _respond_drain(self, start_response: StartResponse) -> list[bytes]:
         logging.info("%s drain ordered.", LOG)
         self._drain()
-        return _answer_json(start_response, "202 Accepted", {"leaving": True})
+        return _respond_json(start_response, "202 Accepted", {"leaving": True})
 
 
 def make_server(
@@ -94,21 +96,24 @@
     )
 
 
-def _answer_json(
-    start_response: StartResponse, line: str, body: dict[str, Any]
+def _respond_json(
+    start_response: StartResponse, status_line: str, body: dict[str, Any]
 ) -> list[bytes]:
     data = json.dumps(body).encode() + b"\n"
-    return _answer(start_response, line, data, "application/json")
+    return _respond(start_response, status_line, data, "application/json")
 
 
-def _answer(
-    start_response: StartResponse, line: str, body: bytes, kind: str
+def _respond(
+    start_response: StartResponse,
+    status_line: str,
+    body: bytes,
+    content_type: str,
 ) -> list[bytes]:
     headers = [
-        ("Content-Type", kind),
+        ("Content-Type", content_type),
         ("Content-Length", str(len(body))),
         # An idle connection would hold one of the few places.
         ("Connection", "close"),
     ]
-    start_response(line, headers)
+    start_response(status_line, headers)
     return [body]
--- a/citronport/operators/status.py
+++ b/citronport/operators/status.py
@@ -10,11 +10,11 @@
 from citronport.catalogue import const as catalogue_const
 from citronport.catalogue import store
 from citronport.operators import models
-from citronport.scheduler import models as decisions
+from citronport.scheduler import models as scheduler_models
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Parts:
+class StatusSources:
     """What a status is read from; nothing is changed through it.
 
     Attributes:
@@ -24,7 +24,7 @@
         published: catalogue and instance list.
         counts: what was counted since the start.
         summarize: work waiting and in progress, by tier.
-        get_owned: names of the endpoints that this instance owns.
+        get_owned_endpoints: names of the endpoints that this instance owns.
         count_running: requests of this instance at an endpoint.
         is_warm: whether an owned endpoint was shown warm.
         is_linked: whether a link to an instance is open.
@@ -38,44 +38,44 @@
     ticker: clock.Clock
     published: store.Store
     counts: telemetry.Counts
-    summarize: collections.abc.Callable[[], decisions.InstanceSummary]
-    get_owned: collections.abc.Callable[[], frozenset[str]]
+    summarize: collections.abc.Callable[[], scheduler_models.InstanceSummary]
+    get_owned_endpoints: collections.abc.Callable[[], frozenset[str]]
     count_running: collections.abc.Callable[[str], int]
     is_warm: collections.abc.Callable[[str], bool]
     is_linked: collections.abc.Callable[[str], bool]
     is_leaving: collections.abc.Callable[[], bool]
     connected: set[str]
-    reports: dict[str, decisions.LoadReport]
+    reports: dict[str, scheduler_models.LoadReport]
 
 
-class Reader:
+class StatusReader:
     """Reads the status of an instance.
 
     Args:
-        parts: where from.
+        sources: where from.
     """
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
-        self._started = parts.ticker.now()
-        self._changed = self._started
-        parts.published.add_listener(self._note_change)
+    def __init__(self, sources: StatusSources) -> None:
+        self._sources = sources
+        self._started = sources.ticker.now()
+        self._catalogue_changed = self._started
+        sources.published.add_listener(self._record_change)
 
     def read(self) -> models.Status:
         """Return the status as it is now."""
-        parts = self._parts
-        now = parts.ticker.now()
-        versions = parts.published.get_versions()
-        fleet = parts.published.fleet
+        sources = self._sources
+        now = sources.ticker.now()
+        versions = sources.published.get_versions()
+        fleet = sources.published.fleet
         return models.Status(
-            instance=parts.settings.instance,
-            incarnation=parts.incarnation,
-            data_centre=parts.settings.data_centre,
+            instance=sources.settings.instance,
+            incarnation=sources.incarnation,
+            data_centre=sources.settings.data_centre,
             program=common.VERSION,
-            leaving=parts.is_leaving(),
+            leaving=sources.is_leaving(),
             up_seconds=now - self._started,
             catalogue_version=versions.get(catalogue_const.PATH_CATALOGUE, 0),
-            catalogue_seconds=now - self._changed,
+            catalogue_seconds=now - self._catalogue_changed,
             list_version=versions.get(catalogue_const.PATH_INSTANCES, 0),
             data_centres=(
                 {n: str(s) for n, s in fleet.data_centres.items()}
@@ -87,17 +87,17 @@
             tiers=self._read_tiers(),
             refusals={
                 str(code): number
-                for code, number in sorted(parts.counts.refusals.items())
+                for code, number in sorted(sources.counts.refusals.items())
             },
-            task_deaths=dict(parts.counts.task_deaths),
+            task_deaths=dict(sources.counts.task_deaths),
         )
 
-    def _note_change(self, path: str) -> None:
+    def _record_change(self, path: str) -> None:
         if path == catalogue_const.PATH_CATALOGUE:
-            self._changed = self._parts.ticker.now()
+            self._catalogue_changed = self._sources.ticker.now()
 
     def _read_peers(self) -> tuple[models.PeerStatus, ...]:
-        parts = self._parts
+        sources = self._sources
         return tuple(
             models.PeerStatus(
                 name=name,
@@ -108,44 +108,44 @@
                     if instance.operator_port
                     else ""
                 ),
-                linked=parts.is_linked(name),
+                linked=sources.is_linked(name),
             )
-            for name, instance in sorted(parts.published.instances.items())
-            if name != parts.settings.instance
+            for name, instance in sorted(sources.published.instances.items())
+            if name != sources.settings.instance
         )
 
     def _read_endpoints(self) -> tuple[models.EndpointStatus, ...]:
-        fleet = self._parts.published.fleet
+        fleet = self._sources.published.fleet
         if fleet is None:
             return ()
         return tuple(
             self._read_endpoint(fleet.endpoints[name])
-            for name in sorted(self._parts.get_owned())
+            for name in sorted(self._sources.get_owned_endpoints())
             if name in fleet.endpoints
         )
 
     def _read_endpoint(
-        self, endpoint: decisions.Endpoint
+        self, endpoint: scheduler_models.Endpoint
     ) -> models.EndpointStatus:
-        parts = self._parts
-        report = parts.reports.get(endpoint.name)
+        sources = self._sources
+        report = sources.reports.get(endpoint.name)
         return models.EndpointStatus(
             name=endpoint.name,
             kind=str(endpoint.kind),
             data_centre=endpoint.data_centre,
             listed=str(endpoint.state),
-            connected=endpoint.name in parts.connected,
-            cold=not parts.is_warm(endpoint.name),
-            running=parts.count_running(endpoint.name),
+            connected=endpoint.name in sources.connected,
+            cold=not sources.is_warm(endpoint.name),
+            running=sources.count_running(endpoint.name),
             concurrency=endpoint.concurrency,
             reported_running=report.running if report else 0,
             reported_queued=report.queued if report else 0,
         )
 
     def _read_tiers(self) -> tuple[models.TierStatus, ...]:
-        summary = self._parts.summarize()
+        summary = self._sources.summarize()
         outcomes: list[dict[str, int]] = [{} for _ in range(common.TIERS)]
-        for (tier, outcome), number in self._parts.counts.outcomes.items():
+        for (tier, outcome), number in self._sources.counts.outcomes.items():
             outcomes[tier][outcome] = number
         return tuple(
             models.TierStatus(
--- a/citronport/orders.py
+++ b/citronport/orders.py
@@ -220,7 +220,7 @@
                 return report_failure(reason, EXIT_WRONG_USE)
             case result.Ok(checked):
                 addresses.append(str(checked.operators))
-    answers = operator_client.read_fleet(addresses, _show_progress)
+    answers = operator_client.fetch_statuses(addresses, _show_progress)
     if order.as_json:
         print(overview.render_json(answers))
     else:
@@ -239,14 +239,14 @@
 def _drain(order: Drain) -> int:
     from citronport.operators import client as operator_client
 
-    match operator_client.order_drain(order.address):
+    match operator_client.request_drain(order.address):
         case result.Err(reason):
             return report_failure(f"{order.address}: {reason}", EXIT_FAILED)
         case result.Ok(_):
             print(f"{order.address} is leaving")
     if not order.wait:
         return 0
-    if operator_client.wait_for_end(order.address, _show_left):
+    if operator_client.wait_for_exit(order.address, _show_left):
         print(f"{order.address} has ended")
         return 0
     return report_failure(f"{order.address} has not ended", EXIT_FAILED)
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -28,7 +28,7 @@
 CHAT = "/v1/chat/completions"
 PARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 OTHER_PARENT = PARENT.replace("af", "be")
-HOPS = ("admission", "queue", "dispatch", "stream")
+OWNER_SPANS = ("admission", "queue", "dispatch", "stream")
 
 
 def call(address, path, method="GET"):
@@ -95,16 +95,16 @@
         found = [s for s in spans if s["trace_id"] == trace_id]
         return sorted(found, key=lambda s: s["start_ns"])
 
-    def check_chain(self, spans, instance, hops, parent):
+    def check_spans(self, spans, instance, hops, parent):
         """Check one instance's part of a trace; return its spans by name."""
-        mine = [s for s in spans if s["instance"] == instance]
-        names = [s["name"] for s in mine]
+        own = [s for s in spans if s["instance"] == instance]
+        names = [s["name"] for s in own]
         self.assertEqual(["request", *hops], names)
-        root = mine[0]
+        root = own[0]
         self.assertEqual(parent, root["parent_id"])
-        for span in mine[1:]:
+        for span in own[1:]:
             self.assertEqual(root["span_id"], span["parent_id"])
-        return {s["name"]: s for s in mine}
+        return {s["name"]: s for s in own}
 
     def check_metrics(self):
         """Check that the metrics tell what callers got."""
@@ -140,11 +140,11 @@
 
         _, trace_id, parent_id, _ = PARENT.split("-")
         spans = self.read_spans(trace_id)
-        first = self.check_chain(
+        first = self.check_spans(
             spans, entry, ("admission", "queue", "forward"), parent_id
         )
         forward = first["forward"]["span_id"]
-        second = self.check_chain(spans, owner, HOPS, forward)
+        second = self.check_spans(spans, owner, OWNER_SPANS, forward)
         self.assertEqual("whole", first["request"]["attributes"]["outcome"])
         self.assertEqual(
             "engine-1", second["dispatch"]["attributes"]["endpoint"]
@@ -158,11 +158,11 @@
         # Under a ticket of the owner it goes home without being decided.
         _, trace_id, parent_id, _ = OTHER_PARENT.split("-")
         spans = self.read_spans(trace_id)
-        first = self.check_chain(
+        first = self.check_spans(
             spans, entry, ("admission", "forward"), parent_id
         )
         forward = first["forward"]["span_id"]
-        self.check_chain(spans, owner, HOPS, forward)
+        self.check_spans(spans, owner, OWNER_SPANS, forward)
 
     def test_status_and_metrics(self):
         """One address shows the fleet; one that is gone is shown too.
--- a/tests/operators/test_pages.py
+++ b/tests/operators/test_pages.py
@@ -51,7 +51,7 @@
 )
 
 
-def read_part(title):
+def read_section(title):
     """Return the part of the page under a title."""
     return PAGE.partition(f"### {title}\n")[2].partition("\n##")[0]
 
@@ -64,7 +64,7 @@
         counts = telemetry.Counts()
         text = metrics.render(STATUS, counts)[0].decode()
         told = set(re.findall(r"^# TYPE citronport_(\w+)", text, re.M))
-        rows = re.findall(r"^\| (`.*?) \|", read_part("Metrics"), re.M)
+        rows = re.findall(r"^\| (`.*?) \|", read_section("Metrics"), re.M)
         named = set(re.findall(r"`(\w+)", " ".join(rows)))
         self.assertEqual(told, named)
         self.assertIn('endpoint_running{endpoint="engine_1"} 1', text)
@@ -79,7 +79,7 @@
                 r'^LOG = "(\w+:)"$', source.read_text(), re.M
             )
         }
-        rows = re.findall(r"^\| `(\w+:)` \|", read_part("Log lines"), re.M)
+        rows = re.findall(r"^\| `(\w+:)` \|", read_section("Log lines"), re.M)
         self.assertEqual(used, set(rows))
 
 
