--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -1,4 +1,4 @@
-"""Hands out places at the endpoints that this instance owns."""
+"""Grants leases of capacity at the endpoints that this instance owns."""
 
 import collections.abc
 import dataclasses
@@ -18,45 +18,45 @@
 
 LOG = "lessor:"
 
-REMOTE_REQUEST_EXPIRY_SECONDS = 1.4
-"""How long a request waits whose instance does not ask again: it asks every
-0.4 s, and three questions in a row hardly get lost."""
+APPLICANT_EXPIRY_SECONDS = 1.4
+"""How long a request stays queued without a repeat by its instance. Instances
+repeat every 0.4 s, and three messages in a row are hardly ever lost."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _RemoteRequest:
-    """A request of another instance; the handle of its waiter.
+class _Applicant:
+    """A request that applies for a lease; serves as its waiter's handle.
 
     Attributes:
-        ask: the question.
-        waiter: its place in the queue; None until it stands there.
-        last_asked: clock time of the newest question, seconds.
-        grant: called with the place that it gets.
+        ask: the lease request.
+        last_asked: clock time of the newest lease request, seconds.
+        grant: called with the reservation.
+        waiter: the queue entry; None before the request is queued.
     """
 
     ask: messages.Ask
     last_asked: float
     grant: collections.abc.Callable[
-        ["_RemoteRequest", dispatcher_module.Reservation], None
+        ["_Applicant", dispatcher_module.Reservation], None
     ]
     waiter: wait_queue.Waiter | None = None
 
     def set(self, reservation: dispatcher_module.Reservation) -> None:
-        """Take a place, as the queue's match gives it."""
+        """Accept a reservation; called by the queue's matching."""
         self.grant(self, reservation)
 
 
 class LeaseServer:
-    """Answers the questions of other instances for places.
+    """Answers lease requests of other instances.
 
     Args:
         own: name of this instance.
-        dispatcher: finds places and keeps who waits for one.
-        leases: what was handed out.
-        cluster_state: what is in force.
-        board: paces of endpoints.
-        health: which endpoints answer.
-        tell: sends a message to an instance, named.
+        dispatcher: reserves capacity and queues requests.
+        leases: granted leases.
+        cluster_state: current configuration and endpoints.
+        loads: step times of endpoints.
+        health: health of endpoints.
+        send: sends a message to the named instance.
         ticker: the clock.
     """
 
@@ -66,56 +66,56 @@
         dispatcher: dispatcher_module.Dispatcher,
         leases: leases_module.Leases,
         cluster_state: cluster_state_module.ClusterState,
-        board: load_tracker.LoadTracker,
+        loads: load_tracker.LoadTracker,
         health: health_module.Health,
-        tell: messages.SendLeaseMessage,
+        send: messages.SendLeaseMessage,
         ticker: clock.Clock,
     ) -> None:
         self._own = own
         self._dispatcher = dispatcher
         self._leases = leases
         self._cluster_state = cluster_state
-        self._board = board
+        self._loads = loads
         self._health = health
-        self._tell = tell
+        self._send = send
         self._ticker = ticker
-        self._remote_requests: dict[str, _RemoteRequest] = {}
+        self._applicants: dict[str, _Applicant] = {}
         self._granted: dict[str, messages.Granted] = {}
 
     def handle_ask(self, ask: messages.Ask) -> None:
-        """Answer a question for a place."""
+        """Answer a lease request."""
         now = self._ticker.now()
         granted = self._granted.get(ask.request)
         if granted is not None and granted.endpoint not in ask.tried:
-            # The answer to an earlier question got lost.
-            self._tell(ask.instance, granted)
+            # The grant that answered an earlier repeat got lost.
+            self._send(ask.instance, granted)
             return
-        remote = self._remote_requests.get(ask.request)
-        if remote is None:
+        applicant = self._applicants.get(ask.request)
+        if applicant is None:
             work = self._make_work(ask, now)
             if work is None:
                 self._decline(ask)
                 return
-            remote = _RemoteRequest(ask, now, self._grant)
-            pause = self._enqueue(remote, work, now)
-            if pause is not None:
-                self._reject(ask, pause)
+            applicant = _Applicant(ask, now, self._grant)
+            retry_seconds = self._enqueue(applicant, work, now)
+            if retry_seconds is not None:
+                self._reject(ask, retry_seconds)
                 return
-        remote.last_asked = now
-        if ask.request in self._remote_requests:
+        applicant.last_asked = now
+        if ask.request in self._applicants:
             queued = messages.Queued(
                 protocol=messages.PROTOCOL, request=ask.request
             )
-            self._tell(ask.instance, queued)
+            self._send(ask.instance, queued)
 
     def handle_begun(self, begun: messages.Begun) -> None:
-        """Note the first event of a request."""
+        """Record the first event of a leased request."""
         self._leases.record_first_event(
             begun.request, begun.endpoint, self._ticker.now()
         )
 
     def handle_ended(self, ended: messages.Ended) -> None:
-        """Take a place back, or a request out of the queue."""
+        """End a lease, or remove a request from the queue."""
         now = self._ticker.now()
         if not ended.endpoint:
             self._cancel(ended.request)
@@ -126,21 +126,23 @@
         self._dispatcher.schedule_match()
 
     def handle_holding(self, holding: messages.Holding) -> None:
-        """Take what an instance holds of this one."""
+        """Renew the leases that an instance holds."""
         held = [
             leases_module.HeldLease(
-                request_id=request, endpoint=endpoint, prefill_tokens=unread
+                request_id=request,
+                endpoint=endpoint,
+                prefill_tokens=prefill_tokens,
             )
-            for request, endpoint, unread in holding.leases
+            for request, endpoint, prefill_tokens in holding.leases
         ]
         self._leases.renew(holding.instance, held, self._ticker.now())
         self._dispatcher.schedule_match()
 
     def sweep(self) -> None:
-        """Drop what nobody asks for or renews any more."""
+        """Remove requests and leases that are no longer renewed."""
         now = self._ticker.now()
-        for request, remote in list(self._remote_requests.items()):
-            if now - remote.last_asked > REMOTE_REQUEST_EXPIRY_SECONDS:
+        for request, applicant in list(self._applicants.items()):
+            if now - applicant.last_asked > APPLICANT_EXPIRY_SECONDS:
                 self._cancel(request)
         self._leases.remove_expired(now)
         for request, granted in list(self._granted.items()):
@@ -148,33 +150,35 @@
                 del self._granted[request]
 
     def _enqueue(
-        self, remote: _RemoteRequest, work: models.Work, now: float
+        self, applicant: _Applicant, work: models.Work, now: float
     ) -> float | None:
         waiter = wait_queue.Waiter(
             work=work,
             waiting_since=now,
-            tried=frozenset(remote.ask.tried),
-            handle=remote,
+            tried=frozenset(applicant.ask.tried),
+            handle=applicant,
             leased=True,
         )
-        remote.waiter = waiter
-        self._remote_requests[work.request_id] = remote
-        return self._dispatcher.enqueue(waiter, remote.ask.service)
+        applicant.waiter = waiter
+        self._applicants[work.request_id] = applicant
+        return self._dispatcher.enqueue(waiter, applicant.ask.service)
 
-    def _reject(self, ask: messages.Ask, pause: float) -> None:
-        del self._remote_requests[ask.request]
+    def _reject(self, ask: messages.Ask, retry_seconds: float) -> None:
+        del self._applicants[ask.request]
         full = messages.Full(
-            protocol=messages.PROTOCOL, request=ask.request, seconds=pause
+            protocol=messages.PROTOCOL,
+            request=ask.request,
+            seconds=retry_seconds,
         )
-        self._tell(ask.instance, full)
+        self._send(ask.instance, full)
 
     def _grant(
         self,
-        remote: _RemoteRequest,
+        applicant: _Applicant,
         reservation: dispatcher_module.Reservation,
     ) -> None:
-        ask = remote.ask
-        self._remote_requests.pop(ask.request, None)
+        ask = applicant.ask
+        self._applicants.pop(ask.request, None)
         name = reservation.endpoint.name
         now = self._ticker.now()
         self._leases.grant(ask.request, name, ask.instance, now)
@@ -183,17 +187,17 @@
             instance=self._own,
             request=ask.request,
             endpoint=name,
-            seconds=reservation.place.seconds,
-            load=self._board.get_load(name).requests,
-            pace=int(self._board.get_step_ms(name) * 1e6),
+            seconds=reservation.placement.seconds,
+            load=self._loads.get_load(name).requests,
+            pace=int(self._loads.get_step_ms(name) * 1e6),
         )
         self._granted[ask.request] = granted
-        self._tell(ask.instance, granted)
+        self._send(ask.instance, granted)
 
     def _cancel(self, request: str) -> None:
-        remote = self._remote_requests.pop(request, None)
-        if remote is not None and remote.waiter is not None:
-            self._dispatcher.cancel(remote.waiter, remote.ask.service)
+        applicant = self._applicants.pop(request, None)
+        if applicant is not None and applicant.waiter is not None:
+            self._dispatcher.cancel(applicant.waiter, applicant.ask.service)
         granted = self._granted.pop(request, None)
         if granted is not None:
             self._health.record_no_result(granted.endpoint)
@@ -205,9 +209,9 @@
         if name not in self._cluster_state.endpoints:
             return
         if ended.pace:
-            self._board.apply_step_ms(ended.instance, name, ended.pace / 1e6)
+            self._loads.apply_step_ms(ended.instance, name, ended.pace / 1e6)
         if ended.seconds:
-            self._board.record_answer_seconds(name, ended.seconds)
+            self._loads.record_answer_seconds(name, ended.seconds)
         match ended.verdict:
             case runs.Verdict.GOOD:
                 self._health.record_answer(name, True, now)
@@ -220,7 +224,8 @@
 
     def _decline(self, ask: messages.Ask) -> None:
         logging.warning(
-            "%s %s asks for route %s, which is not known here.",
+            "%s declined lease request of %s for route %s: the route is"
+            " unknown or its service has no endpoints.",
             LOG,
             ask.instance,
             ask.route,
@@ -228,7 +233,7 @@
         declined = messages.Declined(
             protocol=messages.PROTOCOL, request=ask.request
         )
-        self._tell(ask.instance, declined)
+        self._send(ask.instance, declined)
 
     def _make_work(self, ask: messages.Ask, now: float) -> models.Work | None:
         configuration = self._cluster_state.configuration
--- a/citronport/relay/listeners.py
+++ b/citronport/relay/listeners.py
@@ -23,7 +23,7 @@
     """Return the server for requests of callers."""
     limits = make_limits(settings, None)
     server = _make_server(settings.callers, application, limits)
-    server.singleton_headers = wire.SINGLE
+    server.singleton_headers = wire.SINGLETON_HEADERS
     return server
 
 
