--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -417,9 +417,11 @@
             ready=self.is_ready(),
             running=self.application.running,
             waiting=self.dispatcher.count_waiting(),
-            peers=len(fresh),
-            known=len(self.members.list_known(now)),
-            configuration=configuration.version if configuration else 0,
+            peers_in_reach=len(fresh),
+            known_instances=len(self.members.list_known(now)),
+            configuration_version=(
+                configuration.version if configuration else 0
+            ),
             store_seconds=now - self.follower.answered_at,
             store_revision=self.mirror.revision,
             store_calls=self.follower.calls,
--- a/citronport/relay/metrics.py
+++ b/citronport/relay/metrics.py
@@ -16,7 +16,7 @@
 """Upper bounds of histogram buckets, seconds. They include the latency
 objectives of the deployments."""
 
-_LABEL_ESCAPES = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
+_LABEL_REPLACEMENTS = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
 
 
 def make_histogram() -> histogram.Histogram:
@@ -31,12 +31,13 @@
         requests: requests by kind of route, tier and outcome.
         refusals: refusals by name of the result code.
         sends: sends to endpoints, by result.
-        leased: sends to an endpoint that its owner chose.
+        leased_sends: sends to an endpoint that its owner chose.
         repeats: sends of a request beyond the first one.
-        cuts: sends during which the endpoint's connection broke.
-        first: time to the first byte of an answer, by kind of route.
-        pauses: longest pause of each stream.
-        waits: time in the queue of this instance.
+        cut_sends: sends during which the endpoint's connection broke.
+        first_byte_seconds: time to the first byte of an answer, by kind of
+            route.
+        longest_pauses: longest pause of each stream.
+        queue_seconds: time in the queue of this instance.
     """
 
     def __init__(self) -> None:
@@ -45,14 +46,14 @@
         )
         self.refusals: collections.Counter[str] = collections.Counter()
         self.sends: collections.Counter[str] = collections.Counter()
-        self.leased = 0
+        self.leased_sends = 0
         self.repeats = 0
-        self.cuts = 0
-        self.first: dict[str, histogram.Histogram] = collections.defaultdict(
-            make_histogram
+        self.cut_sends = 0
+        self.first_byte_seconds: dict[str, histogram.Histogram] = (
+            collections.defaultdict(make_histogram)
         )
-        self.pauses = make_histogram()
-        self.waits = make_histogram()
+        self.longest_pauses = make_histogram()
+        self.queue_seconds = make_histogram()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -64,9 +65,9 @@
         ready: whether callers should use this instance.
         running: requests in progress.
         waiting: requests that wait for an endpoint.
-        peers: other instances in reach.
-        known: instances that may serve callers, including this one.
-        configuration: version in force; 0 without one.
+        peers_in_reach: other instances in reach.
+        known_instances: instances that may serve callers, including this one.
+        configuration_version: version in force; 0 without one.
         store_seconds: age of the store's latest answer.
         store_revision: store revision up to which all changes are known.
         store_calls: calls to the store since the start.
@@ -92,9 +93,9 @@
     ready: bool
     running: int
     waiting: int
-    peers: int
-    known: int
-    configuration: int
+    peers_in_reach: int
+    known_instances: int
+    configuration_version: int
     store_seconds: float
     store_revision: int
     store_calls: int
@@ -144,9 +145,15 @@
     gauge("ready", "1 while callers should come here.", int(state.ready))
     gauge("running", "Requests in progress.", state.running)
     gauge("waiting", "Requests that wait for an endpoint.", state.waiting)
-    gauge("peers_in_reach", "Other instances in reach.", state.peers)
-    gauge("instances_known", "Instances that may serve.", state.known)
-    gauge("configuration_version", "Version in force.", state.configuration)
+    gauge("peers_in_reach", "Other instances in reach.", state.peers_in_reach)
+    gauge(
+        "instances_known", "Instances that may serve.", state.known_instances
+    )
+    gauge(
+        "configuration_version",
+        "Version in force.",
+        state.configuration_version,
+    )
     gauge(
         "store_age_seconds",
         "Age of the store's newest answer.",
@@ -192,14 +199,14 @@
         "sends_total",
         "Sends to endpoints, by result.",
         (
-            ({"result": r.translate(_LABEL_ESCAPES)}, number)
+            ({"result": r.translate(_LABEL_REPLACEMENTS)}, number)
             for r, number in counts.sends.items()
         ),
     )
     counter(
         "leased_sends_total",
         "Sends to endpoints that their owner chose.",
-        [({}, counts.leased)],
+        [({}, counts.leased_sends)],
     )
     counter(
         "repeats_total",
@@ -209,7 +216,7 @@
     counter(
         "cut_sends_total",
         "Sends under which the endpoint's connection broke.",
-        [({}, counts.cuts)],
+        [({}, counts.cut_sends)],
     )
     counter(
         "store_calls_total",
@@ -254,10 +261,18 @@
         (
             "first_byte_seconds",
             "Time to the first byte of an answer.",
-            {kind: each for kind, each in counts.first.items()},
+            {kind: each for kind, each in counts.first_byte_seconds.items()},
+        ),
+        (
+            "pause_seconds",
+            "Longest pause of a stream.",
+            {"": counts.longest_pauses},
+        ),
+        (
+            "wait_seconds",
+            "Time in the queue here.",
+            {"": counts.queue_seconds},
         ),
-        ("pause_seconds", "Longest pause of a stream.", {"": counts.pauses}),
-        ("wait_seconds", "Time in the queue here.", {"": counts.waits}),
     ):
         collector = aioprometheus.Histogram(
             f"citronport_{name}", doc, registry=registry, buckets=BUCKETS
--- a/citronport/relay/progress.py
+++ b/citronport/relay/progress.py
@@ -52,7 +52,7 @@
 ) -> None:
     """Log and count a send, with the data that the endpoint was chosen by."""
     context.counts.sends["sent"] += 1
-    context.counts.leased += reservation.leased
+    context.counts.leased_sends += reservation.leased
     context.log.write(
         events.RequestSent(
             request=job.work.request_id,
@@ -92,7 +92,7 @@
         ran: whether the request ran: "yes", "no" or "maybe".
         cut: whether the connection broke while the request was running.
     """
-    context.counts.cuts += cut
+    context.counts.cut_sends += cut
     context.counts.sends[f"failed, ran: {ran}"] += 1
     context.log.write(
         events.SendFailed(
@@ -141,12 +141,12 @@
     counts = context.counts
     kind = str(job.work.route.repeat)
     counts.requests[kind, job.work.tier, progress.outcome] += 1
-    counts.waits.observe(progress.waited)
+    counts.queue_seconds.observe(progress.waited)
     if progress.attempts > 1:
         counts.repeats += progress.attempts - 1
     if progress.first >= 0:
-        counts.first[kind].observe(progress.first)
+        counts.first_byte_seconds[kind].observe(progress.first)
     if progress.longest > 0:
-        counts.pauses.observe(progress.longest)
+        counts.longest_pauses.observe(progress.longest)
     if progress.outcome == "refused":
         counts.refusals[errors.Code(progress.code).name.lower()] += 1
--- a/tests/relay/test_pages.py
+++ b/tests/relay/test_pages.py
@@ -17,9 +17,9 @@
     ready=True,
     running=2,
     waiting=0,
-    peers=6,
-    known=7,
-    configuration=7,
+    peers_in_reach=6,
+    known_instances=7,
+    configuration_version=7,
     store_seconds=0.5,
     store_revision=9,
     store_calls=30,
@@ -65,8 +65,8 @@
         """Each metric has a row, and each row is a metric."""
         counts = metrics.Counts()
         counts.requests["stream", 0, "answered"] += 1
-        counts.first["stream"].observe(0.2)
-        counts.waits.observe(0.0)
+        counts.first_byte_seconds["stream"].observe(0.2)
+        counts.queue_seconds.observe(0.0)
         text = metrics.render(STATE, counts)[0].decode()
         rendered = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
         named = set(re.findall(r"`(citronport_\w+)", read_rows("Metrics")))
