--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; the tree mirrors the source."""
+"""Tests; the folder structure mirrors that of the source."""
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Test runner: loads all tests, or those whose id holds an argument."""
+"""Test runner: runs all tests, or those whose id contains an argument."""
 
 import sys
 import unittest
@@ -13,7 +13,7 @@
 
 
 def select_tests(suite: unittest.TestSuite, words: list[str]) -> list:
-    """Return the tests whose id holds one of the words, or all."""
+    """Return the tests whose id contains one of the words, or all."""
     tests = list(testtools.iterate_tests(suite))
     if not words:
         return tests
@@ -21,7 +21,7 @@
 
 
 def run() -> int:
-    """Run the tests and print the closing line that CI reads."""
+    """Run the tests and print the summary line that CI parses."""
     suite = unittest.defaultTestLoader.discover("tests", top_level_dir=".")
     tests = select_tests(suite, sys.argv[1:])
     runner = unittest.TextTestRunner(verbosity=2, stream=sys.stdout)
--- a/tests/addresses.py
+++ b/tests/addresses.py
@@ -1,17 +1,17 @@
-"""Loopback addresses for the fleets of tests."""
+"""Loopback addresses for fleets in tests."""
 
 import os
 
 
 def choose_subnet(offset: int) -> str:
-    """Return second and third number of a fleet's addresses.
+    """Return the second and third number of a fleet's addresses.
 
-    Two checkouts may run their tests at the same time: each process takes
-    a subnet of its own, since a fleet would else find the other's
-    processes at its addresses.
+    The subnet depends on the process id, since two checkouts may run their
+    tests at the same time: with equal addresses, a fleet would connect to
+    processes of the other one.
 
     Args:
-        offset: different for each fleet of one run, below 16.
+        offset: distinguishes the fleets of one test run; below 16.
     """
     number = (os.getpid() * 16 + offset) % 7500
     return f"{220 + number // 250}.{number % 250}"
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes that end with a test."""
+"""Fleets of real processes for tests."""
 
 import pathlib
 import tempfile
@@ -8,7 +8,10 @@
 
 
 def start_fleet(test, layout):
-    """Start the processes of a layout; return it once all listen."""
+    """Start the processes of a layout; return the fleet once all listen.
+
+    The processes are stopped at the end of the test.
+    """
     folder = tempfile.TemporaryDirectory()
     test.addCleanup(folder.cleanup)
     running = processes.Processes(pathlib.Path(folder.name))
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a fault that is known and still open."""
+"""The list of tests that fail because of a known, unresolved fault."""
 
 import pathlib
 
@@ -6,9 +6,9 @@
 
 
 def read_names(path: pathlib.Path = LIST) -> set[str]:
-    """Return the ids of the listed tests; none without a list.
+    """Return the ids of the listed tests; none if there is no list.
 
-    An entry is one line: the test's id, then its story behind a bar.
+    An entry is one line: the id of the test, a bar and a description.
     """
     if not path.exists():
         return set()
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,4 +1,4 @@
-"""Requests for tests that don't look at what is in them."""
+"""Sample requests for tests that do not depend on their contents."""
 
 from citronport import runs
 from citronport.endpoints import client
@@ -8,7 +8,7 @@
 
 
 def make_work(*, seconds=60.0, tier=0, idempotent=True, identity=None):
-    """Return a request with a deadline in so many seconds of a new clock."""
+    """Return a request; its deadline counts from the start of a new clock."""
     request = models.Request(
         request_id=REQUEST_ID,
         entry="entry",
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The one binary: built, started, counted and used."""
+"""Tests of the binary: build, start, number of processes, requests."""
 
 import os
 import pathlib
@@ -26,7 +26,7 @@
     ),
 )
 MINOR_FAULTS_OF_CHILDREN = 10
-"""Place in /proc/PID/stat; above 0 once a child has run and ended."""
+"""Index in /proc/PID/stat; the value is above 0 once a child has ended."""
 
 
 def make_environment(folder):
@@ -40,7 +40,7 @@
 
 
 def count_children(pid):
-    """Return how many children a process has, and whether it had any."""
+    """Return the number of current children, and whether any has ended."""
     tasks = pathlib.Path(f"/proc/{pid}/task").iterdir()
     now = sum(len((t / "children").read_text().split()) for t in tasks)
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().split()
@@ -48,16 +48,16 @@
 
 
 class BuildTest(testtools.TestCase):
-    """The binary runs as one process and serves."""
+    """The binary runs as a single process."""
 
     @classmethod
     def setUpClass(cls):
-        """Build it."""
+        """Build the binary."""
         super().setUpClass()
         subprocess.run([ROOT / "script" / "build"], check=True, timeout=300)
 
     def setUp(self):
-        """Make folders."""
+        """Create a temporary folder."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -74,12 +74,11 @@
         return process
 
     def test_serves_as_one_process(self):
-        """One process, from its first start on a new instance.
+        """The binary starts no other process, not even at its first start.
 
-        A loader that starts helpers, if only for a moment, breaks the
-        rule of the machines. The kernel adds the page faults of each
-        child that has ended to its parent's account, so that a helper
-        which is gone by now is still seen.
+        Instances must not start helper processes, however short-lived. The
+        kernel adds the page faults of ended children to those of their
+        parent, so that a helper which has ended is detected as well.
         """
         running = processes.Processes(self.folder)
         self.addCleanup(running.__exit__)
@@ -101,7 +100,7 @@
         self.assertEqual(0, process.wait(20))
 
     def test_folder_of_others_is_refused(self):
-        """Code is not run from a folder that others can write to."""
+        """The binary does not run code that other users can write to."""
         self.unpacked.mkdir()
         self.unpacked.chmod(0o777)
         self.assertEqual(1, self.start("version").wait(60))
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's figures: what it calls a broken promise."""
+"""Tests of the demo's figures and of the violations that it reports."""
 
 import json
 import pathlib
@@ -18,10 +18,10 @@
 
 
 class FiguresTest(testtools.TestCase):
-    """Figures come from the stand-ins' journals and callers' records."""
+    """Figures are computed from journals of stand-ins and callers' records."""
 
     def setUp(self):
-        """Make a folder for journals."""
+        """Create a folder for journals."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -29,7 +29,7 @@
         self.rng = random.Random(1)
 
     def count(self, records, lines):
-        """Write a journal and return the figures."""
+        """Write a journal and return the figures computed from it."""
         path = self.folder / "endpoint.jsonl"
         path.write_text("".join(json.dumps(x) + "\n" for x in lines))
         absence = demo_figures.Absence(left=100.0, returned=200.0)
@@ -44,7 +44,7 @@
         return demo_figures.Record(job=job, attempts=[outcome], seconds=1.0)
 
     def make_line(self, record, request, at=0.0):
-        """Return the journal line of a request that came in."""
+        """Return the journal line of a request that was received."""
         line = {
             "time": at,
             "by": "endpoint",
@@ -58,7 +58,7 @@
         return {**line, "prompt": prompt}
 
     def test_right_answer_breaks_nothing(self):
-        """An answer that is right and in time is goodput."""
+        """A correct answer within the deadline counts as goodput."""
         record = self.make_record(STATUS_READ, whole=True)
         record.attempts[0] = caller.Outcome(
             status=200, whole=True, text=record.job.expected
@@ -68,19 +68,19 @@
         self.assertEqual([1, 0, 0, 0], figures.goodput_by_tier)
 
     def test_wrong_answer_breaks(self):
-        """A whole answer with other bytes is wrong."""
+        """A complete answer with unexpected bytes is reported as wrong."""
         record = self.make_record(STATUS_READ, whole=True, text="other")
         figures = self.count([record], [self.make_line(record, "a")])
         self.assertEqual(["answers_wrong: 1"], figures.broken)
 
     def test_run_after_not_run_is_doubled(self):
-        """A job that reached an endpoint although it "did not run"."""
+        """A job reported as "not run" that reached an endpoint is doubled."""
         record = self.make_record(RESERVATION, code=1, ran=caller.NOT_RUN)
         figures = self.count([record], [self.make_line(record, "a")])
         self.assertEqual(1, figures.doubled)
 
     def test_second_run_of_a_reservation_is_doubled(self):
-        """Two arrivals of one reservation under two ids."""
+        """A reservation that reaches an endpoint under two ids is doubled."""
         record = self.make_record(RESERVATION)
         record.attempts.append(record.attempts[0])
         lines = [self.make_line(record, request) for request in ("a", "b")]
@@ -88,7 +88,7 @@
         self.assertEqual(1, figures.doubled)
 
     def test_silence_is_lost_and_late_work_is_seen(self):
-        """No answer at all, and work long after the data centre left."""
+        """A missing answer and work after the data centre left are counted."""
         record = self.make_record(STATUS_READ, status=0)
         figures = self.count([record], [self.make_line(record, "a", 150.0)])
         self.assertEqual(1, figures.lost)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The table of codes in the docs and the one in the code are the same."""
+"""Tests that docs/ERRORS.md lists the codes as the code defines them."""
 
 import pathlib
 
@@ -13,7 +13,7 @@
 
 
 def read_rows(text):
-    """Return the cells of the rows that begin with a number."""
+    """Return the cells of the table rows that start with a number."""
     return [
         [cell.strip() for cell in line.strip("|").split("|")]
         for line in text.splitlines()
@@ -22,10 +22,10 @@
 
 
 class ErrorsTest(testtools.TestCase):
-    """docs/ERRORS.md against errors.MEANINGS."""
+    """docs/ERRORS.md matches errors.MEANINGS."""
 
     def test_page_holds_each_code(self):
-        """Each row says what the code says, and what to do."""
+        """Each row matches the definition and tells the caller what to do."""
         rows = read_rows(PAGE.read_text().partition(INPUTS)[0])
         expected = [
             [
@@ -42,7 +42,7 @@
         self.assertTrue(all(row[-1] for row in rows))
 
     def test_page_holds_each_input_fault(self):
-        """Numbers of inputs have a table of their own."""
+        """Codes of rejected inputs are distinct and have their own table."""
         rows = read_rows(PAGE.read_text().partition(INPUTS)[2])
         self.assertEqual(
             [[str(int(f)), f.name.lower()] for f in errors.InputFault],
@@ -52,7 +52,7 @@
         self.assertFalse(numbers & {int(f) for f in errors.InputFault})
 
     def test_unknown_outcome_is_never_repeated(self):
-        """No client is told to repeat what may have run."""
+        """A code for a request that may have run never permits a retry."""
         for meaning in errors.MEANINGS.values():
             if meaning.ran == errors.Ran.OUTCOME_UNKNOWN:
                 self.assertFalse(meaning.may_retry)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""The executor: checks before a send, answers when a task dies."""
+"""Tests of the executor: checks before a send, failures of tasks."""
 
 import gevent
 from gevent import event as gevent_event
@@ -18,24 +18,24 @@
 
 
 class WarmScheduler:
-    """Takes every endpoint for warm."""
+    """A scheduler to which every endpoint is warm."""
 
     fleet = None
 
     def handle(self, event, now):
-        """Decide nothing."""
+        """Return no actions."""
         return []
 
     def has_warm_evidence(self, endpoint, now):
-        """Return that it is warm."""
+        """Return that the endpoint is warm."""
         return True
 
 
 class ResumedProcessTest(testtools.TestCase):
-    """A process that was stopped acts on an old view."""
+    """A process that was suspended must not send based on outdated state."""
 
     def setUp(self):
-        """Make an executor whose leases have run out."""
+        """Create an executor without leases."""
         super().setUp()
         self.ticker = clock.ManualClock(100.0)
         self.leased = False
@@ -49,34 +49,34 @@
         )
 
     def may_send(self):
-        """Ask as the dispatch task does before the first byte."""
+        """Return the check that the dispatch task makes before sending."""
         return self.executor._may_send("engine", self.ticker.now())
 
     def step(self, seconds):
-        """Let time pass, then let the executor have its turn."""
+        """Advance the clock and run one step of the executor."""
         self.ticker.advance(seconds)
         self.executor._step(models.TimePassed())
 
     def test_warm_endpoint_needs_no_lease(self):
-        """An outage of the platform alone stops no warm endpoint."""
+        """A platform outage alone does not stop sends to warm endpoints."""
         self.step(0.05)
         self.assertTrue(self.may_send())
 
     def test_no_send_between_wake_and_first_step(self):
-        """The dispatch task may get its turn before the executor does.
+        """Nothing is sent if the dispatch task resumes before the executor.
 
-        The process was stopped with a decision made. Meanwhile the
-        endpoint got another owner and turned cold; the send would be one
-        more than it bears.
+        The process is suspended after a decision. Meanwhile the endpoint gets
+        another owner and turns cold, so that the send would exceed its cold
+        start limit.
         """
         self.ticker.advance(4.0)
         self.assertFalse(self.may_send())
 
     def test_no_send_without_lease_after_a_pause(self):
-        """What is in force is told within the hold; then all is as before.
+        """After a pause a send needs a lease for a limited time.
 
-        The process wakes and its loop runs at once, but the list and the
-        other instances answer only some milliseconds later.
+        The process resumes and its event loop runs at once, but the instance
+        list and the other instances answer only milliseconds later.
         """
         self.step(4.0)
         self.step(0.05)
@@ -90,7 +90,7 @@
 
 
 class ScriptedScheduler:
-    """Decides what it was told to, and keeps what it heard."""
+    """A scheduler that returns a given action and records its events."""
 
     def __init__(self, action):
         self.fleet = FLEET
@@ -99,7 +99,7 @@
         self._action = action
 
     def handle(self, event, now):
-        """Answer a new request with the action."""
+        """Return the given action for a new request."""
         self.events.append(event)
         match event:
             case models.RequestArrived():
@@ -117,7 +117,7 @@
 
 
 class ExecutorTest(testtools.TestCase):
-    """One request, decided by a script."""
+    """Runs a request with a scripted scheduler."""
 
     def run_request(self, action, forward):
         """Run a request; return its scheduler, counts and last message."""
@@ -142,11 +142,11 @@
         return scheduler, watched.counts, message
 
     def test_task_of_a_request_dies(self):
-        """A fault of ours ends the task that waits for an answer.
+        """An internal error ends the task that waits for an answer.
 
-        The caller would wait until its own timeout, and the endpoint's
-        place would stay taken. It is told "outcome unknown" at once, the
-        place is given back, and the log holds no content.
+        Unhandled, the caller would wait until its own timeout and the slot at
+        the endpoint would stay occupied. The caller must get "outcome unknown"
+        at once, the slot must be released, and no content may be logged.
         """
 
         def forward(run, instance):
@@ -168,9 +168,9 @@
         self.assertNotIn(SECRET, "".join(logs.output))
 
     def test_endpoint_leaves_the_catalogue_before_the_send(self):
-        """A catalogue without the endpoint comes in after the decision.
+        """A catalogue without the endpoint arrives after the decision.
 
-        Nothing was sent, so that the caller may be told "not run".
+        Nothing was sent, so the caller is told "not run".
         """
         scheduler, counts, message = self.run_request(
             models.Dispatch(
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""Which failing tests CI passes over."""
+"""Tests of the list of known failures that CI tolerates."""
 
 import pathlib
 import tempfile
@@ -12,18 +12,18 @@
     """The list of known failures."""
 
     def setUp(self):
-        """Make a folder for the list."""
+        """Create a folder for the list."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / "KNOWN-RED.txt"
 
     def test_no_list_passes_over_nothing(self):
-        """Every failure counts."""
+        """Without a list every failure counts."""
         self.assertEqual(set(), known_failures.read_names(self.path))
 
     def test_whole_names_only(self):
-        """A part of a name, or a line without a story, lists no test."""
+        """Neither a part of a name nor a line without description counts."""
         self.path.write_text(
             "Known failures.\n\n"
             "tests.test_a.ATest.test_one | script/test one | seen | issue 1\n"
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The table of losses adds up and gives each loss its reason."""
+"""Tests of the table of losses: sum and reasons."""
 
 import testtools
 
@@ -53,7 +53,7 @@
 
 
 def make_ended(route: str, **fields: object) -> dict:
-    """Return a line of a request that was answered in time."""
+    """Return the log line of a request that was answered in time."""
     line = {
         "event": "request_ended",
         "request": f"{route}-1",
@@ -88,22 +88,22 @@
 
 
 class LossesTest(testtools.TestCase):
-    """What a day lost is told once, each part with its reason."""
+    """Each loss of a day is counted once and has a reason."""
 
     def test_adds_up_to_the_whole(self) -> None:
-        """All parts together are what the day's worth lacks to one."""
+        """The sum of all losses is one minus the score of the day."""
         table = losses.add_up(SHEET, REPORT, LINES)
         total = sum(sum(part.values()) for part in table.values())
         self.assertAlmostEqual(1 - REPORT["G"], total)
 
     def test_routes_are_known_by_their_traits(self) -> None:
-        """Of two routes alike the length of the prompts tells them apart."""
+        """Routes with equal traits are told apart by the prompt length."""
         found = losses.find_routes(LINES, losses.read_kinds(SHEET))
         self.assertEqual("draft", found["r1"].name)
         self.assertEqual("tag", found["r2"].name)
 
     def test_reasons(self) -> None:
-        """A late answer, a cut one and refusals are told apart."""
+        """Late answers, cut answers and refusals have separate reasons."""
         table = losses.add_up(SHEET, REPORT, LINES)
         self.assertEqual(
             {
@@ -121,6 +121,6 @@
         )
 
     def test_half_written_line(self) -> None:
-        """A line that a kill cut short is passed over."""
+        """A line truncated by a kill is skipped."""
         text = '1.0 a {"at":1,"event":"ready"}\n1.0 a {"at":1,"ev'
         self.assertEqual(1, len(list(losses.read_lines(text))))
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes."""
+"""End-to-end tests of the request path with separate processes."""
 
 import testtools
 
@@ -9,7 +9,8 @@
 from tests import fleets
 
 LAYOUT = fleet.Layout(
-    # By process, so that two runs on one machine do not meet.
+    # Depends on the process id, so that two runs on one machine do not
+    # conflict.
     subnet=addresses.choose_subnet(2),
     data_centres=("dc-1", "dc-2"),
     instances=3,
@@ -30,7 +31,7 @@
 
 
 class PathTest(testtools.TestCase):
-    """A request goes from a caller to an endpoint and back."""
+    """Requests pass from a caller to an endpoint and back."""
 
     def setUp(self):
         """Start a small fleet."""
@@ -46,13 +47,13 @@
         self.assertTrue(outcome.whole)
 
     def test_answers_are_whole_at_each_entry(self):
-        """Each entry serves streams and whole answers."""
+        """Each instance serves streams and complete answers."""
         for address in self.fleet.get_callers_addresses():
             self.send_chat(address, stream=True)
             self.send_chat(address, stream=False)
 
     def test_service_call_runs_once(self):
-        """A keyed call that is repeated gets the first one's answer."""
+        """A repeated call with an idempotency key gets the first answer."""
         address = self.fleet.get_callers_addresses()[0]
         self.send_chat(address)
         entries = caller.look_up(address, "key-1")
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -9,21 +9,21 @@
 
 
 def make_run(*, repeatable=False):
-    """Return a run that nobody reads yet."""
+    """Return a run without readers."""
     return runs.Run(
         samples.make_work(), lambda run: None, repeatable=repeatable
     )
 
 
 class RunTest(testtools.TestCase):
-    """One answer, one or more readers."""
+    """Runs with one or more readers."""
 
     def test_refusal_before_the_reader_is_read(self):
-        """The caller gets a refusal that was decided at once.
+        """A refusal that precedes its reader is not lost.
 
-        Another instance submits a request; it is refused in the same
-        moment, before the task that sends the answer back has started.
-        Seen as a caller that waited for its own timeout.
+        Another instance forwards a request, which is refused before the task
+        that returns the answer has started. If the refusal is lost, the
+        caller waits until its own timeout.
         """
         run = make_run()
         refused = messages.Refused(
@@ -33,7 +33,7 @@
         self.assertEqual([refused], list(run.read()))
 
     def test_second_reader_gets_all_of_a_kept_run(self):
-        """A repeat joins and reads from the start."""
+        """A repeat attaches later and reads from the start."""
         run = make_run(repeatable=True)
         piece = messages.Chunk(offset=0, data=b"x")
         end = messages.Finished(size=1)
@@ -44,7 +44,7 @@
         self.assertEqual([piece, end], list(run.read()))
 
     def test_nothing_follows_the_end(self):
-        """A late piece after the final answer is dropped."""
+        """A late chunk after the end of the answer is dropped."""
         run = make_run(repeatable=True)
         end = messages.Finished(size=0)
         run.deliver(end)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,6 +1,6 @@
-"""Scenarios with real processes behind the fault proxy, fixed seeds.
+"""Scenarios with real processes behind the fault proxy, with a fixed seed.
 
-Each file in scenarios/ tells what callers see, in what order, and why.
+Each file in scenarios/ describes what callers see, in what order, and why.
 """
 
 import os
@@ -14,12 +14,13 @@
 from standins import processes
 
 CONCURRENT_SCENARIOS = 3
-"""Scenarios that run side by side, each with its own addresses."""
+"""Scenarios that run at the same time, each with its own addresses."""
 
 SEED = 1
 
 SUBNET_NUMBER = 100 + 10 * (os.getpid() % 12)
-"""Second number of the addresses; two checkouts may run at one time."""
+"""Second number of the addresses; it depends on the process id, since two
+checkouts may run their tests at the same time."""
 
 NAMES = (
     "stop_in_turn",
@@ -38,11 +39,11 @@
     "non_idempotent_answer_lost",
     "once_answer_lost",
 )
-"""What CI runs; the rest runs by hand, see docs/PROOFS.md."""
+"""Scenarios run in CI; the others are run by hand, see docs/PROOFS.md."""
 
 
 class ScenariosTest(testtools.TestCase):
-    """The promises hold under failure."""
+    """The guarantees hold under failures."""
 
     def run_scenario(self, number):
         """Run one scenario; return its exit code."""
@@ -67,7 +68,7 @@
         return ended.returncode
 
     def test_scenarios(self):
-        """Each scenario of the fixed subset ends without a problem."""
+        """Each scenario of the fixed subset succeeds."""
         codes = pool.Pool(CONCURRENT_SCENARIOS).map(
             self.run_scenario, range(len(NAMES))
         )
