--- a/citronport/commands.py
+++ b/citronport/commands.py
@@ -220,12 +220,12 @@
     text = last.ErrorAsStr() if last.HasError() else "invalid arguments"
     if text.startswith("Could not consume arg"):
         word = text.partition(": ")[2]
-        known = (
+        fault = (
             "unknown command"
             if word == arguments[0]
             else "unexpected argument"
         )
-        return f"{known}: {word}"
+        return f"{fault}: {word}"
     if "required argument" in text:
         return f"missing argument: {text.rpartition(': ')[2]}"
     return " ".join(text.split())
--- a/citronport/core.py
+++ b/citronport/core.py
@@ -128,7 +128,7 @@
         )
         self._connected: set[str] = set()
         self._reports: dict[str, models.LoadReport] = {}
-        self._stopped = gevent_event.Event()
+        self._stop_ordered = gevent_event.Event()
         self._leaving = False
         self.status = self._make_status_reader()
         self.published.listen(self._apply_published)
@@ -148,7 +148,7 @@
         self._wait_until_ready()
         callers.start()
         logging.info("%s instance %s has started.", LOG, self.name)
-        self._stopped.wait()
+        self._stop_ordered.wait()
         self._drain(callers)
         callers.stop(timeout=LINGER_SECONDS)
         peer_server.stop(timeout=0)
@@ -158,7 +158,7 @@
     def stop(self) -> None:
         """Start a graceful shutdown; has no effect if one is in progress."""
         logging.info("%s instance %s is shutting down.", LOG, self.name)
-        self._stopped.set()
+        self._stop_ordered.set()
 
     def _make_peers(self) -> peers.Peers:
         return peers.Peers(
@@ -259,7 +259,7 @@
         # available can only be refused. Without a listener it tries its next
         # address at once.
         for _ in range(int(READY_TIMEOUT_SECONDS / POLL_INTERVAL_SECONDS)):
-            if self._is_ready() or self._stopped.is_set():
+            if self._is_ready() or self._stop_ordered.is_set():
                 return
             self.ticker.sleep(POLL_INTERVAL_SECONDS)
 
@@ -287,7 +287,7 @@
 
     def _apply_published(self, path: str) -> None:
         self.assignment.apply(path)
-        if not self._stopped.is_set():
+        if not self._stop_ordered.is_set():
             self._set_leaving(self._is_out_of_service())
 
     def _is_out_of_service(self) -> bool:
--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -81,7 +81,9 @@
         self._inbox: queue.Queue[models.Event] = queue.Queue()
         self._runs: dict[str, runs.Run] = {}
         self._tasks: dict[str, gevent.Greenlet] = {}
-        self._at_endpoint: collections.Counter[str] = collections.Counter()
+        self._running_at_endpoint: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._refused_by: dict[str, tuple[str, ...]] = {}
         self._refusals: dict[str, errors.Refusal] = {}
 
@@ -107,7 +109,7 @@
 
     def count_running(self, endpoint: str) -> int:
         """Return how many requests an endpoint has not finished yet."""
-        return self._at_endpoint[endpoint]
+        return self._running_at_endpoint[endpoint]
 
     def is_idle(self) -> bool:
         """Return whether no run is in progress."""
@@ -215,11 +217,11 @@
     def _dispatch_counted(
         self, run: runs.Run, action: models.Dispatch, start: int
     ) -> None:
-        self._at_endpoint[action.endpoint] += 1
+        self._running_at_endpoint[action.endpoint] += 1
         try:
             self._dispatch(run, action, start)
         finally:
-            self._at_endpoint[action.endpoint] -= 1
+            self._running_at_endpoint[action.endpoint] -= 1
 
     def _dispatch(
         self, run: runs.Run, action: models.Dispatch, start: int
@@ -379,9 +381,9 @@
         # A plain service has no cancel endpoint: it would process the cancel
         # as a call.
         if endpoint is not None and endpoint.kind == models.Kind.ENGINE:
-            self._at_endpoint[endpoint.name] += 1
+            self._running_at_endpoint[endpoint.name] += 1
             client.cancel(endpoint.address, action.request_id)
-            self._at_endpoint[endpoint.name] -= 1
+            self._running_at_endpoint[endpoint.name] -= 1
         self.post(models.AnswerFinished(request_id=action.request_id))
 
     def _abandon(self, request_id: str) -> None:
--- a/citronport/loader.py
+++ b/citronport/loader.py
@@ -21,14 +21,14 @@
 FOLDER_VARIABLE = "CITRONPORT_UNPACK"
 PACKAGES = "packages/"
 BUILD_FILE = "build"
-PYTHON = (3, 11)
+PYTHON_VERSION = (3, 11)
 EXIT_FAILED = 1
 
 
 def run() -> None:
     """Unpack the archive that contains this file and run its program."""
-    if sys.version_info[:2] != PYTHON:
-        sys.exit("citronport: Python {}.{} is needed".format(*PYTHON))
+    if sys.version_info[:2] != PYTHON_VERSION:
+        sys.exit("citronport: Python {}.{} is needed".format(*PYTHON_VERSION))
     archive = pathlib.Path(sys.argv[0]).resolve()
     try:
         packages = unpack(archive, choose_folder())
--- a/citronport/orders.py
+++ b/citronport/orders.py
@@ -246,13 +246,13 @@
             print(f"{order.address} is leaving")
     if not order.wait:
         return 0
-    if operator_client.wait_for_end(order.address, _show_left):
+    if operator_client.wait_for_end(order.address, _show_running):
         print(f"{order.address} has ended")
         return 0
     return report_failure(f"{order.address} has not ended", EXIT_FAILED)
 
 
-def _show_left(running: int) -> None:
+def _show_running(running: int) -> None:
     if sys.stderr.isatty():
         print(
             f"{running} requests in progress\033[K", end="\r", file=sys.stderr
