--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -99,7 +99,7 @@
         process.terminate()
         self.assertEqual(0, process.wait(20))
 
-    def test_folder_of_others_is_refused(self):
+    def test_folder_writable_by_others_is_refused(self):
         """The binary does not run code that other users can write to."""
         self.unpacked.mkdir()
         self.unpacked.chmod(0o777)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -43,10 +43,10 @@
         outcome = caller.Outcome(**{"status": 200, **fields})
         return demo_figures.Record(job=job, attempts=[outcome], seconds=1.0)
 
-    def make_line(self, record, request, at=0.0):
+    def make_line(self, record, request, time=0.0):
         """Return the journal line of a request that was received."""
         line = {
-            "time": at,
+            "time": time,
             "by": "endpoint",
             "kind": "received",
             "request": request,
@@ -57,7 +57,7 @@
         prompt = answers.hash_prompt(engine.make_prompt(body))
         return {**line, "prompt": prompt}
 
-    def test_right_answer_breaks_nothing(self):
+    def test_correct_answer_is_goodput(self):
         """A correct answer within the deadline counts as goodput."""
         record = self.make_record(STATUS_READ, whole=True)
         record.attempts[0] = caller.Outcome(
@@ -67,7 +67,7 @@
         self.assertEqual([], figures.broken)
         self.assertEqual([1, 0, 0, 0], figures.goodput_by_tier)
 
-    def test_wrong_answer_breaks(self):
+    def test_wrong_answer_is_reported(self):
         """A complete answer with unexpected bytes is reported as wrong."""
         record = self.make_record(STATUS_READ, whole=True, text="other")
         figures = self.count([record], [self.make_line(record, "a")])
@@ -87,7 +87,7 @@
         figures = self.count([record], lines)
         self.assertEqual(1, figures.doubled)
 
-    def test_silence_is_lost_and_late_work_is_seen(self):
+    def test_missing_answer_and_late_work_are_counted(self):
         """A missing answer and work after the data centre left are counted."""
         record = self.make_record(STATUS_READ, status=0)
         figures = self.count([record], [self.make_line(record, "a", 150.0)])
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -62,7 +62,7 @@
         self.step(0.05)
         self.assertTrue(self.may_send())
 
-    def test_no_send_between_wake_and_first_step(self):
+    def test_no_send_between_resume_and_first_step(self):
         """Nothing is sent if the dispatch task resumes before the executor.
 
         The process is suspended after a decision. Meanwhile the endpoint gets
@@ -123,25 +123,25 @@
         """Run a request; return its scheduler, counts and last message."""
         scheduler = ScriptedScheduler(action)
         ticker = clock.ManualClock()
-        watched = telemetry.Telemetry(ticker)
-        made = executor.Executor(
+        observed = telemetry.Telemetry(ticker)
+        subject = executor.Executor(
             scheduler,
             ticker,
             forward,
             lambda endpoint, now: True,
             lambda event, actions: None,
             lambda endpoint, start: True,
-            watched,
+            observed,
         )
-        task = gevent.spawn(made.serve)
+        task = gevent.spawn(subject.serve)
         self.addCleanup(task.kill)
         run = runs.Run(samples.make_work(tier=2), lambda run: None)
-        made.submit(run)
+        subject.submit(run)
         with gevent.Timeout(10):
             (message,) = run.read()
-        return scheduler, watched.counts, message
+        return scheduler, observed.counts, message
 
-    def test_task_of_a_request_dies(self):
+    def test_failure_of_a_request_task(self):
         """An internal error ends the task that waits for an answer.
 
         Unhandled, the caller would wait until its own timeout and the slot at
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -18,7 +18,7 @@
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / "KNOWN-RED.txt"
 
-    def test_no_list_passes_over_nothing(self):
+    def test_without_list_no_failure_is_tolerated(self):
         """Without a list every failure counts."""
         self.assertEqual(set(), known_failures.read_names(self.path))
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -90,7 +90,7 @@
 class LossesTest(testtools.TestCase):
     """Each loss of a day is counted once and has a reason."""
 
-    def test_adds_up_to_the_whole(self) -> None:
+    def test_losses_add_up_to_the_missing_score(self) -> None:
         """The sum of all losses is one minus the score of the day."""
         table = losses.add_up(SHEET, REPORT, LINES)
         total = sum(sum(part.values()) for part in table.values())
@@ -120,7 +120,7 @@
             set(table["tag"]),
         )
 
-    def test_half_written_line(self) -> None:
+    def test_truncated_line_is_skipped(self) -> None:
         """A line truncated by a kill is skipped."""
         text = '1.0 a {"at":1,"event":"ready"}\n1.0 a {"at":1,"ev'
         self.assertEqual(1, len(list(losses.read_lines(text))))
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -19,7 +19,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-class WrongUseTest(testtools.TestCase):
+class UsageTest(testtools.TestCase):
     """Invalid use exits with 2, one line of error and no traceback."""
 
     def check(self, arguments, expected):
@@ -33,14 +33,14 @@
         """The error names a file that does not exist."""
         self.check("serve /nowhere.yaml", "/nowhere.yaml: No such file")
 
-    def test_file_that_is_wrong(self):
+    def test_invalid_file(self):
         """The errors of a file are reported in one line."""
         self.check(
             "check settings docs/examples/catalogue.yaml",
             "line 2: version: unknown key",
         )
 
-    def test_typed_wrong(self):
+    def test_invalid_arguments(self):
         """Invalid arguments raise a one-line error; nothing is executed."""
         for arguments, expected in (
             ("bogus", "unknown command: bogus"),
@@ -61,7 +61,7 @@
             self.assertIn(expected, str(error))
             self.assertNotIn("\n", str(error))
 
-    def test_good_use(self):
+    def test_valid_use(self):
         """Help and checks print to standard output and exit with 0."""
         for arguments, expected in (
             ("", "Examples:"),
@@ -101,7 +101,7 @@
 class StartTest(testtools.TestCase):
     """Start-up time, which matters when all instances restart at once."""
 
-    def test_a_relay_does_not_look_for_plugins(self):
+    def test_relay_does_not_search_for_plugins(self):
         """A relay does not search the installed packages for plugins.
 
         After a power loss all instances start at once, and a start that reads
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -46,13 +46,13 @@
         self.assertEqual(caller.make_expected(body), outcome.text)
         self.assertTrue(outcome.whole)
 
-    def test_answers_are_whole_at_each_entry(self):
+    def test_each_instance_answers_completely(self):
         """Each instance serves streams and complete answers."""
         for address in self.fleet.get_callers_addresses():
             self.send_chat(address, stream=True)
             self.send_chat(address, stream=False)
 
-    def test_service_call_runs_once(self):
+    def test_repeated_service_call_runs_once(self):
         """A repeated call with an idempotency key gets the first answer."""
         address = self.fleet.get_callers_addresses()[0]
         self.send_chat(address)
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -18,7 +18,7 @@
 class RunTest(testtools.TestCase):
     """Runs with one or more readers."""
 
-    def test_refusal_before_the_reader_is_read(self):
+    def test_refusal_before_the_reader_is_delivered(self):
         """A refusal that precedes its reader is not lost.
 
         Another instance forwards a request, which is refused before the task
@@ -32,7 +32,7 @@
         run.deliver(refused)
         self.assertEqual([refused], list(run.read()))
 
-    def test_second_reader_gets_all_of_a_kept_run(self):
+    def test_second_reader_gets_all_of_a_repeatable_run(self):
         """A repeat attaches later and reads from the start."""
         run = make_run(repeatable=True)
         piece = messages.Chunk(offset=0, data=b"x")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -69,7 +69,7 @@
             "event_file: trace_file names the same file",
         )
 
-    def test_key_that_stands_twice(self):
+    def test_duplicate_key(self):
         """A duplicate key is rejected; YAML would use the last value."""
         self.check_fault(
             "data_centre: dc-1",
@@ -77,13 +77,13 @@
             "line 3: invalid YAML: duplicate key instance",
         )
 
-    def test_name_that_is_no_header_value(self):
+    def test_name_with_line_break(self):
         """Names are used in headers, so a line break is rejected."""
         self.check_fault(
             "instance: entry-1", 'instance: "a\\nb"', "line 2: instance:"
         )
 
-    def test_file_that_can_not_be_read(self):
+    def test_unreadable_file(self):
         """A missing or unreadable file gives a one-line reason."""
         for path in (ROOT / "missing.yaml", ROOT):
             reason = settings.read_settings(path).unwrap_err()
@@ -144,7 +144,7 @@
             f"line {line}: entries.1.class: a value is needed",
         )
 
-    def test_names_that_clash(self):
+    def test_duplicate_and_unknown_names(self):
         """Duplicate and unknown names are reported with their line."""
         line = find_line(CATALOGUE, "- name: reservations")
         self.check_fault(
@@ -156,7 +156,7 @@
             "data_centre: dc-1", "data_centre: dc-9", "no data centre dc-9"
         )
 
-    def test_endpoint_with_two_names(self):
+    def test_endpoints_with_one_address(self):
         """Two endpoints cannot share an address.
 
         They could have two owners, which together would overload the endpoint
@@ -166,7 +166,7 @@
             "127.60.1.201", "127.60.1.101", "endpoints.1.address:"
         )
 
-    def test_key_of_two_entries(self):
+    def test_entries_with_one_key(self):
         """Two entries cannot share a key: the class would be arbitrary."""
         hashes = re.findall("[0-9a-f]{64}", CATALOGUE)
         self.check_fault(hashes[1], hashes[0], "entries.1.key_sha256:")
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -22,7 +22,7 @@
         self.ticker = clock.ManualClock()
         self.tasks = tasks.Supervisor(self.ticker, self.deaths.append)
 
-    def test_task_starts_again_after_a_pause(self):
+    def test_failed_task_restarts_after_a_delay(self):
         """A watch that fails with an unexpected error is restarted.
 
         Otherwise its value would stay outdated unnoticed. Each restart is
@@ -55,7 +55,7 @@
         self.assertEqual(["unnamed"], self.deaths)
         self.assertNotIn(SECRET, "".join(logs.output))
 
-    def test_process_ends_with_a_task_it_needs(self):
+    def test_process_ends_with_a_required_task(self):
         """The failure of a required task ends the process.
 
         A task that fails in the middle of a step may leave wrong state, which
