--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -20,7 +20,7 @@
 
 
 class UsageTest(testtools.TestCase):
-    """Invalid use exits with 2, one line of error and no traceback."""
+    """Exit codes and output; invalid use prints one line, no traceback."""
 
     def check(self, arguments, expected):
         """Run an invalid command line."""
