--- a/citronport/catalogue/__init__.py
+++ b/citronport/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own reader of the published catalogue and list."""
+"""Client and store of the published catalogue and instance list."""
--- a/citronport/catalogue/client.py
+++ b/citronport/catalogue/client.py
@@ -1,4 +1,4 @@
-"""Reads and watches what the platform publishes; writes nothing."""
+"""Read-only client of the values that the platform publishes."""
 
 import collections.abc
 import dataclasses
@@ -22,9 +22,9 @@
     """One published value.
 
     Attributes:
-        path: which value.
-        version: its version; grows with each change.
-        value: the value as the platform gives it, YAML text.
+        path: path of the value at the platform.
+        version: version of the value; increases with each change.
+        value: YAML text as received from the platform.
     """
 
     path: str
@@ -42,20 +42,22 @@
     record_outcome: collections.abc.Callable[[str, str], None],
     is_reader: collections.abc.Callable[[str], bool] = lambda path: True,
 ) -> None:
-    """Follow one published value for ever, one open watch at a time.
+    """Watch one published value; never returns.
+
+    At most one watch is open at a time.
 
     Args:
-        path: which value.
-        wait: seconds for which a watch may be held open.
-        addresses: the platform's addresses, tried in turn.
+        path: path of the value at the platform.
+        wait: seconds for which the platform may hold a watch open.
+        addresses: the platform's addresses, used in rotation on failure.
         ticker: the clock.
-        deliver: called with each value that differs from the last one.
-        confirm: called after each answer with the clock time at which the
-            question was sent, since the answer is at least that fresh, and
-            with the version that the platform holds.
-        record_outcome: called with the path and the outcome of each question.
-        is_reader: whether this instance is one of those that watch the
-            value; others ask now and then only.
+        deliver: called with each new version of the value.
+        confirm: called after each response with the clock time at which
+            the request was sent, since the response is at least that
+            fresh, and with the version that the platform holds.
+        record_outcome: called with the path and the outcome of each request.
+        is_reader: whether this instance watches the value continuously;
+            other instances only poll it at long intervals.
     """
     version = 0
     address_index = 0
@@ -70,8 +72,9 @@
             continue
         requested_at = ticker.now()
         address = addresses[address_index % len(addresses)]
-        # A question that is out when a silent platform comes back hides its
-        # return until it is given up; one that waits for nothing is soon.
+        # A platform that recovers never answers the requests that were
+        # open while it did not respond, so recovery is noticed only after
+        # the open request times out. Without a hold time that is sooner.
         hold_seconds = 0.0 if failing else wait
         match fetch(path, address, version, hold_seconds):
             case result.Ok(published):
@@ -87,7 +90,7 @@
             case result.Err(reason):
                 failing = True
                 record_outcome(path, "failed")
-                logging.warning("%s %s failed: %s.", LOG, path, reason)
+                logging.warning("%s read of %s failed: %s.", LOG, path, reason)
                 address_index += 1
                 max_delay = min(2 * max_delay, const.MAX_RETRY_SECONDS)
                 ticker.sleep(random.uniform(max_delay / 2, max_delay))
@@ -96,16 +99,17 @@
 def fetch(
     path: str, address: settings.Listener, version: int, wait: float
 ) -> result.Result[Published | None, str]:
-    """Ask once for a value newer than a version.
+    """Request a value newer than a given version, once.
 
     Args:
-        path: which value.
-        address: where the platform listens.
+        path: path of the value at the platform.
+        address: address of the platform.
         version: the version already known; 0 for none.
-        wait: seconds for which the platform may hold the question.
+        wait: seconds for which the platform may hold the request.
 
     Returns:
-        The newer value, None if there was none in time, or the failure.
+        The newer value, None if there was none in time, or the reason of a
+        failure.
     """
     client = geventhttpclient.HTTPClient(
         str(address.address),
@@ -124,8 +128,8 @@
             return result.Err(f"status {answer.status_code}")
         return _read_published(path, body)
     except Exception as error:
-        # The client raises socket, parser and timeout errors of several
-        # families; whatever it is, the answer is to ask again.
+        # The HTTP client raises socket, parser and time-out errors without
+        # a common base class; all of them are handled by a retry.
         return result.Err(type(error).__name__)
     finally:
         client.close()
@@ -135,7 +139,7 @@
     path: str, body: bytes
 ) -> result.Result[Published | None, str]:
     if len(body) > const.MAX_VALUE_BYTES:
-        return result.Err("value too large")
+        return result.Err("value exceeds the size limit")
     raw: Any = msgpack.unpackb(body)
     return result.Ok(
         Published(path=path, version=raw["version"], value=raw["value"])
--- a/citronport/catalogue/const.py
+++ b/citronport/catalogue/const.py
@@ -1,4 +1,4 @@
-"""Constants of the platform's published protocol."""
+"""Constants of the protocol by which the platform publishes values."""
 
 from typing import Final
 
@@ -8,41 +8,52 @@
 CATALOGUE_WATCH_SECONDS: Final = 5.0
 """How long the platform may hold a watch of the catalogue open.
 
-A platform that falls silent and comes back never answers a watch that it
-held, and an edit has to be in force within 9 s: it is given up after this
-and CONNECT_TIMEOUT_SECONDS.
+A platform that stops responding and recovers never answers the watches that
+it held, and an edit has to be in force within 9 s. A watch therefore times
+out after this time plus CONNECT_TIMEOUT_SECONDS.
 """
 
 INSTANCE_LIST_WATCH_SECONDS: Final = 1.0
-"""How long it may hold a watch of the instance list open.
+"""How long the platform may hold a watch of the instance list open.
 
-Each answer renews the lease on owned endpoints, so that a watch has to end
-well within it; 510 instances then make 510 of the platform's 2,000 reads a
-second.
+Each response renews the lease on owned endpoints, so a watch has to end well
+before the lease expires. At this value 510 instances make 510 reads a second
+of the 2,000 that the platform supports.
 """
 
 CONNECT_TIMEOUT_SECONDS: Final = 2.0
 MIN_RETRY_SECONDS: Final = 0.25
-"""Half the longest pause before the first repeat of a failed question."""
+"""Shortest delay before the first retry; the longest is twice this."""
 
 MAX_RETRY_SECONDS: Final = 2.0
-"""Longest pause between two. At a steady 0.5 s the 510 instances, two
-values each, would ask an ailing platform 2,040 times a second, more than
-all that it can give; at this one 680 times, spread by chance."""
+"""Upper bound of the delay between retries.
+
+At a constant 0.5 s, 510 instances with two values each would send 2,040
+requests a second to a failing platform, more than it can serve. At this
+value they send 680, spread by random jitter.
+"""
 
 MAX_VALUE_BYTES: Final = 1_000_000
 
 MAX_KEPT_DELTAS: Final = 512
-"""Differences kept for peers that are behind. An hour apart at 6,900
-changes a day is 288; who is further behind gets the whole value."""
+"""Deltas kept for peers that hold an older version.
+
+At 6,900 changes a day, a peer that is an hour behind needs 288. Peers that
+are further behind get the complete value.
+"""
 
 READERS_PER_DATA_CENTRE: Final = 2
-"""Instances of a data centre that watch the catalogue in a large fleet; the
-others get differences from these. Two, since one may die or be cut off."""
+"""Instances per data centre that watch the catalogue in a large fleet.
+
+The other instances get deltas from these. There are two because one may
+crash or lose its connection.
+"""
 
 FALLBACK_POLL_SECONDS: Final = 30.0
-"""How often one that is no reader asks all the same: all readers within its
-reach may have lost the platform."""
+"""Interval at which instances that are not readers poll the platform.
+
+All readers that such an instance can reach may have lost the platform.
+"""
 
 READER_CHECK_SECONDS: Final = 1.0
-"""Pause between two looks at whether this instance has become a reader."""
+"""Interval of checks whether this instance has become a reader."""
--- a/citronport/catalogue/delta.py
+++ b/citronport/catalogue/delta.py
@@ -1,9 +1,9 @@
-"""Differences of two versions of a published value.
+"""Deltas between two versions of a published value.
 
-A published value is a mapping; its lists hold items that each have a name.
-A difference names the items that were set and those that were dropped, so
-that a change of one endpoint among thousands costs one item on each link
-instead of the whole value.
+A published value is a mapping whose lists hold named items. A delta holds
+the items that were added or changed and the names of those that were
+removed, so that a change of one endpoint among thousands sends one item over
+each link instead of the complete value.
 """
 
 import dataclasses
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Delta:
-    """How a document became the next one.
+    """Changes between two versions of a document.
 
     Attributes:
-        base: version that it starts from.
-        version: version that it leads to.
-        fields: values that are no lists of items, by key.
-        items: items that were set, by list.
-        dropped: names of items that are gone, by list.
-        checksum: of the document that it leads to.
+        base: version that the delta applies to.
+        version: version that it produces.
+        fields: all values that are not lists of items, by key.
+        items: items that were added or changed, by key of their list.
+        dropped: names of removed items, by key of their list.
+        checksum: checksum of the resulting document.
     """
 
     base: int
@@ -42,7 +42,7 @@
 
 
 def dump(document: Document) -> str:
-    """Return a document as JSON, in a fixed order."""
+    """Return a document as JSON in canonical order."""
     ordered = {
         key: sorted(value, key=_get_name) if _is_item_list(value) else value
         for key, value in document.items()
@@ -51,7 +51,7 @@
 
 
 def make_delta(old: Document, new: Document, base: int, version: int) -> Delta:
-    """Return how a document of one version became that of another."""
+    """Return the delta between two versions of a document."""
     items: dict[str, list[dict[str, Any]]] = {}
     dropped: dict[str, list[str]] = {}
     fields: dict[str, Any] = {}
@@ -74,11 +74,11 @@
 
 
 def apply_delta(old: Document, delta: Delta) -> tuple[Document, str] | None:
-    """Return the document that a difference leads to, and its text.
+    """Apply a delta to a document.
 
     Returns:
-        Both, or None if the difference does not fit: then the whole value
-        has to be asked for.
+        The resulting document and its JSON text, or None if the checksum
+        does not match; the complete value must then be requested.
     """
     new: Document = dict(delta.fields)
     for key in delta.items:
@@ -87,9 +87,10 @@
             kept.pop(name, None)
         kept.update({_get_name(item): item for item in delta.items[key]})
         new[key] = list(kept.values())
-    # Two holders of one version could still differ if the platform ever
-    # published it twice; a wrong catalogue would then stay in force
-    # unseen, and each later difference would carry it on.
+    # If the platform ever published two values under one version, instances
+    # could hold different documents of the same version. Without this
+    # check a wrong catalogue would stay in force unnoticed, and each later
+    # delta would be applied on top of it.
     text = dump(new)
     if compute_checksum(text) != delta.checksum:
         return None
--- a/citronport/catalogue/models.py
+++ b/citronport/catalogue/models.py
@@ -1,4 +1,4 @@
-"""What the platform publishes, validated at the border."""
+"""Models that validate the values published by the platform."""
 
 import hashlib
 
@@ -15,14 +15,14 @@
 
 
 class DataCentreModel(_Strict):
-    """A data centre and whether operators have it in service."""
+    """A data centre and its service state, which operators set."""
 
     name: str
     state: scheduler_models.Service = scheduler_models.Service.IN
 
 
 class InstanceModel(_Strict):
-    """An entry instance in the platform's list."""
+    """An instance in the platform's instance list."""
 
     name: str
     data_centre: str
@@ -52,7 +52,7 @@
 
 
 class LimitsModel(_Strict):
-    """Limits of an entry over the whole fleet."""
+    """Limits of an entry, summed over the fleet."""
 
     requests_per_second: float | None = pydantic.Field(default=None, gt=0)
     concurrency: int | None = pydantic.Field(default=None, ge=1)
@@ -60,7 +60,7 @@
 
 
 class EntryModel(_Strict):
-    """A catalogue entry: an owner, a class and that owner's limits."""
+    """A catalogue entry: an owner, its tier and its limits."""
 
     name: str
     owner: str
@@ -71,10 +71,10 @@
 
 
 class CatalogueModel(_Strict):
-    """The catalogue, whole.
+    """The complete catalogue.
 
-    One salt serves all keys, so that a key is found by one hash and one
-    look-up however many entries there are.
+    All keys share one salt, so that a key is found with one hash and one
+    look-up regardless of the number of entries.
     """
 
     version: int = pydantic.Field(ge=1)
@@ -85,14 +85,16 @@
 
     @pydantic.model_validator(mode="after")
     def check_consistency(self) -> "CatalogueModel":
-        """Refuse what stands twice and data centres not listed."""
+        """Reject duplicates and references to unknown data centres."""
         for part in ("data_centres", "endpoints", "entries"):
             _check_unique(part, "name", [i.name for i in getattr(self, part)])
-        # Two owners would each fill an endpoint that has two names, and
-        # overfeed its cold start together.
+        # An endpoint with two names could have two owners. Each would use
+        # its full concurrency, and together they would overload it while
+        # it is cold.
         addresses = [f"{e.address}:{e.port}" for e in self.endpoints]
         _check_unique("endpoints", "address", addresses)
-        # A key of two entries would be served in the class of either.
+        # With a key in two entries, the tier of a request would be
+        # ambiguous.
         keys = [e.key_sha256 for e in self.entries]
         _check_unique("entries", "key_sha256", keys)
         known = {item.name for item in self.data_centres}
@@ -116,19 +118,19 @@
 
 
 class InstanceListModel(_Strict):
-    """The list of live and leaving instances."""
+    """The list of running and leaving instances."""
 
     version: int = pydantic.Field(ge=1)
     instances: tuple[InstanceModel, ...] = ()
 
 
 def parse_catalogue(text: str) -> result.Result[CatalogueModel, str]:
-    """Check the YAML text of a catalogue; see ``documents.check``."""
+    """Parse and validate the YAML text of a catalogue."""
     return documents.parse(text, CatalogueModel)
 
 
 def make_fleet(catalogue: CatalogueModel) -> scheduler_models.Fleet:
-    """Return the catalogue as the scheduler sees it."""
+    """Convert a catalogue to the scheduler's model."""
     return scheduler_models.Fleet(
         version=catalogue.version,
         data_centres={d.name: d.state for d in catalogue.data_centres},
@@ -157,7 +159,7 @@
 def make_instances(
     listed: InstanceListModel,
 ) -> dict[str, scheduler_models.Instance]:
-    """Return the instance list as the scheduler sees it."""
+    """Convert the instance list to the scheduler's models, by name."""
     return {
         item.name: scheduler_models.Instance(
             **{**item.model_dump(), "address": str(item.address)}
@@ -167,5 +169,5 @@
 
 
 def hash_key(salt: str, key: str) -> str:
-    """Return the salted hash of a workspace key, hexadecimal."""
+    """Return the salted hash of a workspace key in hexadecimal."""
     return hashlib.sha256(f"{salt}:{key}".encode()).hexdigest()
--- a/citronport/catalogue/store.py
+++ b/citronport/catalogue/store.py
@@ -1,4 +1,4 @@
-"""The newest published values this instance knows, from any source."""
+"""Store of the newest published values, from the platform or peers."""
 
 import collections
 import collections.abc
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class KeyIndex:
-    """How workspace keys are found.
+    """Index from the hashes of workspace keys to catalogue entries.
 
     Attributes:
         salt: salt of all key hashes.
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _StoredValue:
-    """A value in force, and how it came to be."""
+    """A value in force and the deltas that led to it."""
 
     published: client.Published
     document: delta.Document
@@ -40,10 +40,10 @@
 
 
 class Store:
-    """Holds each value at its newest version and tells who listens.
+    """Holds the newest version of each value and notifies listeners.
 
-    A version never goes back: a platform that is stale, and a peer that
-    is behind, are both simply older.
+    Versions only increase: values from a stale platform or from a peer
+    that is behind are ignored.
     """
 
     def __init__(self) -> None:
@@ -56,23 +56,23 @@
     def add_listener(
         self, listener: collections.abc.Callable[[str], None]
     ) -> None:
-        """Call a function with the path of each value that changes."""
+        """Register a function to call with the path of each changed value."""
         self._listeners.append(listener)
 
     def get_versions(self) -> dict[str, int]:
-        """Return the version of each value by its path."""
+        """Return the version of each value, by path."""
         return {p: h.published.version for p, h in self._values.items()}
 
     def get(self, path: str) -> client.Published | None:
-        """Return a value as it was published, for a peer."""
+        """Return a value in its published form, to send it to a peer."""
         stored = self._values.get(path)
         return stored.published if stored else None
 
     def find_deltas(self, path: str, version: int) -> list[delta.Delta]:
-        """Return how a version became the one in force.
+        """Return the deltas from a version to the one in force.
 
         Returns:
-            The differences in order; empty if not all of them are kept.
+            The deltas in order; empty if any of them is no longer kept.
         """
         stored = self._values.get(path)
         if stored is None:
@@ -83,7 +83,7 @@
         return found
 
     def apply(self, published: client.Published) -> bool:
-        """Take a value if it is newer and valid; return whether taken."""
+        """Apply a value if it is newer and valid; return whether it was."""
         if not self._is_newer(published.path, published.version):
             return False
         match documents.load(published.value):
@@ -94,7 +94,7 @@
                 return False
 
     def apply_delta(self, path: str, change: delta.Delta) -> bool:
-        """Take a difference; return False if the whole value is needed."""
+        """Apply a delta; return False if the complete value is needed."""
         if not self._is_newer(path, change.version):
             return True
         stored = self._values.get(path)
@@ -172,7 +172,7 @@
                 )
                 return True
             case result.Err(reason):
-                # The last good catalogue stays in force, whole.
+                # The last valid catalogue stays in force unchanged.
                 _log_rejected(published.path, reason)
                 return False
 
--- a/tests/catalogue/test_client.py
+++ b/tests/catalogue/test_client.py
@@ -1,4 +1,4 @@
-"""How soon an edit is known after the platform was away."""
+"""Tests of the delay of an edit after an outage of the platform."""
 
 import random
 
@@ -10,18 +10,18 @@
 from citronport.catalogue import const
 
 MAX_DELAY_SECONDS = 9.0
-"""Within which an edit is in force everywhere."""
+"""Time within which an edit has to be in force everywhere."""
 
 
 class _EditDeliveredError(Exception):
-    """The edit has arrived."""
+    """The edit was delivered."""
 
 
 class UnresponsivePlatform:
-    """A platform that falls silent for a while, on the paused clock.
+    """A platform that stops responding for a while, on a manual clock.
 
-    A question that is asked meanwhile, or was held then, stays without an
-    answer, also once the platform is back.
+    Requests that are sent or open during the outage are never answered,
+    also not after the platform has recovered.
     """
 
     def __init__(self, ticker, silent_from, back_at):
@@ -29,7 +29,7 @@
         self._silent = (silent_from, back_at)
 
     def fetch(self, path, address, version, wait):
-        """Return the edit that is published as the platform returns."""
+        """Return the edit that is published when the platform recovers."""
         held = wait if version else 0.0
         start, end = self._silent
         now = self._ticker.now()
@@ -46,10 +46,10 @@
 
 
 class OutageTest(testtools.TestCase):
-    """One instance; nobody else tells it of edits."""
+    """A single instance, which gets edits from the platform only."""
 
     def measure_delay(self, away_seconds):
-        """Return the time from the platform's return to the edit."""
+        """Return the time from recovery to the delivery of the edit."""
         ticker = clock.ManualClock(100.0)
         back_at = 110.0 + away_seconds
         platform = UnresponsivePlatform(ticker, 110.0, back_at)
@@ -73,12 +73,13 @@
             return ticker.now() - back_at
 
     def test_edit_is_in_force_soon_after_an_outage(self):
-        """Callers are refused for 20 s after an edit that lets them in.
+        """An edit is in force soon after the platform has recovered.
 
-        The platform falls silent and comes back; a watch that it held then
-        is out for its whole length, and so is each question of a watch
-        that follows: any of them hides the return. A short watch, and
-        questions that wait for nothing while they fail, bound both.
+        Guards against callers being refused for 20 s after an edit that
+        admits them. A watch that was open during the outage is lost for
+        its full duration, as is each retry sent before the recovery, and
+        any of them delays its detection. A short watch and retries without
+        a hold time bound the delay.
         """
         self.patch(random, "uniform", lambda low, high: high)
         self.patch(client.logging, "warning", lambda *words: None)
--- a/tests/catalogue/test_store.py
+++ b/tests/catalogue/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of published values and their differences."""
+"""Tests of published values and their deltas."""
 
 import copy
 import json
@@ -34,17 +34,17 @@
 
 
 def publish(document):
-    """Return a document as the platform publishes it."""
+    """Return a document in the form that the platform publishes."""
     return client.Published(
         path=PATH, version=document["version"], value=json.dumps(document)
     )
 
 
 class StoreTest(testtools.TestCase):
-    """A version never goes back, and a bad one changes nothing."""
+    """Versions only increase, and invalid values are not applied."""
 
     def setUp(self):
-        """Hold two versions, one endpoint changed and one gone."""
+        """Apply two versions; the second changes and removes an endpoint."""
         super().setUp()
         self.first = make_document(1, ["a", "b", "c"])
         self.second = make_document(2, ["a", "b"])
@@ -54,7 +54,7 @@
         self.store.apply(publish(self.second))
 
     def test_difference_leads_to_the_same_value(self):
-        """A peer that is one behind gets what changed only."""
+        """A peer that is one version behind gets only the changes."""
         peer = store.Store()
         peer.apply(publish(self.first))
         (change,) = self.store.find_deltas(PATH, 1)
@@ -64,10 +64,10 @@
         self.assertEqual(self.store.fleet, peer.fleet)
 
     def test_peer_with_another_document_needs_the_whole(self):
-        """The checksum shows that two hold different values as one version.
+        """The checksum detects different values under the same version.
 
         The platform published version 1 twice. Without the checksum the
-        difference would be put on top of the wrong one, unseen for ever.
+        delta would be applied to the wrong value, and nobody would notice.
         """
         other = copy.deepcopy(self.first)
         other["endpoints"][0]["port"] = 9001
@@ -78,7 +78,7 @@
         self.assertEqual(1, peer.get_versions()[PATH])
 
     def test_older_and_wrong_values_change_nothing(self):
-        """A stale platform, a late difference and a bad edit."""
+        """A stale value, a late delta and an invalid edit are ignored."""
         fleet = self.store.fleet
         (change,) = self.store.find_deltas(PATH, 1)
         bad = make_document(3, ["a", "a"])
@@ -89,11 +89,11 @@
         self.assertIs(fleet, self.store.fleet)
 
     def test_history_that_does_not_reach_back(self):
-        """A peer that is too far behind gets the whole value."""
+        """A peer that is too far behind gets no deltas."""
         self.assertEqual([], self.store.find_deltas(PATH, 0))
 
     def test_order_of_items_does_not_matter(self):
-        """Checksums of one value agree however it was put together."""
+        """The checksum of a value does not depend on the items' order."""
         turned = copy.deepcopy(self.second)
         turned["endpoints"].reverse()
         self.assertEqual(
