--- a/citronport/platform/__init__.py
+++ b/citronport/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls; decides nothing."""
+"""Names, data formats and calls of the platform; holds no decisions."""
--- a/citronport/platform/client.py
+++ b/citronport/platform/client.py
@@ -1,4 +1,4 @@
-"""Reads the platform's store and watches it; it can't be written."""
+"""Read-only client of the platform's key-value store."""
 
 import collections.abc
 import urllib.parse
@@ -14,27 +14,27 @@
 _STATUS_COMPACTED = 410
 
 RESPONSE_TIMEOUT_SECONDS = 6.0
-"""How long an answer may take that keeps coming: a page of 1 MB takes 4 s on
-half a link of 5 Mbit/s."""
+"""Time limit of a response that keeps arriving; a page of 1 MB takes 4 s on
+half of a 5 Mbit/s link."""
 
 
 class Compacted:
-    """The store keeps no history back to the revision asked for."""
+    """The store no longer has the history since the requested revision."""
 
 
 Outcome = result.Result[models.StoreResponse, str | Compacted]
 
 
 class Client:
-    """One connection to the store, opened when it is needed.
+    """One connection to the store, opened on demand.
 
     Args:
         address: "ip:port" of the store.
-        idle_seconds: how long the store may send nothing, beyond a watch's
-            wait.
+        idle_seconds: how long the store may send nothing; for a watch this
+            is added to the wait.
 
     Attributes:
-        received: bytes of the latest answer's body that came.
+        received: bytes received of the latest response's body.
     """
 
     def __init__(self, address: str, idle_seconds: float) -> None:
@@ -47,8 +47,8 @@
         """Read one page of the items whose keys begin with a prefix.
 
         Args:
-            prefix: of the keys.
-            after: last key of the page before, or empty.
+            prefix: prefix of the keys.
+            after: last key of the previous page, or empty.
         """
         query = {"prefix": prefix}
         if after:
@@ -59,9 +59,9 @@
         """Wait for changes later than a revision.
 
         Args:
-            prefix: of the keys.
-            revision: the last one that is known.
-            wait: seconds for which the store may hold the question.
+            prefix: prefix of the keys.
+            revision: the latest revision that is known.
+            wait: seconds for which the store may hold the request.
         """
         query = {
             "prefix": prefix,
@@ -73,7 +73,7 @@
         )
 
     def close(self) -> None:
-        """Close the connection; the next question opens another."""
+        """Close the connection; the next request opens a new one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -93,8 +93,8 @@
             with gevent.Timeout(wait + RESPONSE_TIMEOUT_SECONDS, TimeoutError):
                 status, body = self._exchange(target, wait)
         except TimeoutError:
-            # The connection may have gone silent for good: an answer that
-            # is lost on it never comes, while a new one works.
+            # The connection may be broken without a sign of it. A lost
+            # response never arrives on it, while a new connection works.
             self.close()
             return result.Err("no answer in time")
         except (OSError, http_response.HTTPParseError) as error:
@@ -115,9 +115,9 @@
             used.send(connection.encode_request(self._address, "GET", target))
             status = used.read_head().status_code
         chunks = []
-        # Each piece has its own time: a large answer on a slow link takes
-        # longer than a silence may, and one that is thrown away and asked
-        # for anew may never come to its end.
+        # The idle time-out applies to each chunk. A large response takes
+        # longer than that over a slow link, and if it were dropped and
+        # requested again each time, it might never complete.
         while data := self._read_chunk(used):
             chunks.append(data)
             self.received += len(data)
--- a/citronport/platform/const.py
+++ b/citronport/platform/const.py
@@ -1,20 +1,20 @@
-"""Names that the users' platform gives its headers, paths and keys."""
+"""Names of the platform's headers, paths and keys."""
 
 from typing import Final
 
-# Calls that reach an instance
+# Paths of an instance
 
 PATH_READY: Final = "/citronport/readyz"
 PATH_LOOKUP: Final = "/citronport/resolve"
 MAX_LOOKUP_ADDRESSES: Final = 64
-"""Addresses that an answer to a lookup may name."""
+"""Most addresses in the response to a lookup."""
 
-# Calls to the store
+# Paths of the store
 
 PATH_RANGE: Final = "/citronport/kv-range"
 PATH_WATCH: Final = "/citronport/kv-watch"
 
-# Calls to an endpoint
+# Paths of an endpoint
 
 PATH_REPORT: Final = "/citronport/report"
 
@@ -25,7 +25,7 @@
 PREFIX_ENDPOINTS: Final = "servers/"
 PREFIX_ALL: Final = ""
 
-# Headers of a caller's request, as an HTTP server hands them over
+# Headers of a caller's request, in lower case as the server gives them
 
 HEADER_REQUEST_ID: Final = "x-attempt-id"
 HEADER_DEADLINE: Final = "x-deadline-ms"
@@ -34,13 +34,13 @@
 HEADER_LENGTH_HINT: Final = "x-length-hint"
 HEADER_PROMPT_PARTS: Final = "x-prompt-prefix"
 
-# Headers that an instance sets towards an endpoint
+# Headers that an instance sets in requests to an endpoint
 
 HEADER_EXPECTED_ENDPOINT: Final = "x-expect-instance"
 HEADER_WORKSPACE: Final = "x-tenant"
 HEADER_RESUME_AFTER: Final = "last-event-id"
 
-# Headers of an endpoint's answer
+# Headers of an endpoint's response
 
 HEADER_SIGNATURE: Final = "x-response-seal"
 HEADER_NOT_RUN: Final = "x-not-executed"
@@ -61,7 +61,7 @@
         "x-pin-ms",
     )
 )
-"""Headers that only an instance may set; a caller's own are dropped."""
+"""Headers that only an instance may set; removed from caller requests."""
 
 HOP_BY_HOP_HEADERS: Final = frozenset(
     (
@@ -79,7 +79,7 @@
         "upgrade",
     )
 )
-"""Headers that concern one connection or are written anew."""
+"""Headers that apply to one connection or are set again per hop."""
 
 SINGLETON_HEADERS: Final = frozenset(
     name.encode()
@@ -96,7 +96,7 @@
         HEADER_RESUME_AFTER,
     )
 )
-"""Headers that a head may hold once; a second one is ambiguous."""
+"""Headers that may occur once in a request; a duplicate is ambiguous."""
 
 STATUS_MISDIRECTED: Final = 421
-"""An endpoint is not the one that was expected; it did not run."""
+"""Status of an endpoint other than the expected one; it ran nothing."""
--- a/citronport/platform/models.py
+++ b/citronport/platform/models.py
@@ -1,4 +1,4 @@
-"""What the platform's store holds, decoded into the project's types."""
+"""Decoders of the values in the platform's store."""
 
 import base64
 import binascii
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Item:
-    """A value in the store.
+    """One item of the store.
 
     Attributes:
-        key: its key.
-        value: its bytes; None once it was deleted.
-        revision: the store's revision of its last change.
+        key: key of the item.
+        value: content of the item; None if it was deleted.
+        revision: revision of the store at the item's last change.
     """
 
     key: str
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoreResponse:
-    """What the store answered.
+    """Decoded response of the store.
 
     Attributes:
-        items: in the order of the answer.
-        revision: the store's revision at the time of the answer.
+        items: items or changes, in the order of the response.
+        revision: revision of the store at the time of the response.
         more: whether another page follows.
     """
 
@@ -52,8 +52,8 @@
 
 
 class _WireModel(pydantic.BaseModel):
-    # Fields that are not known here may come at any time; a wrong type in
-    # one that is known makes the whole value unusable.
+    # Unknown fields are ignored, since the platform may add some at any
+    # time. A wrong type in a known field invalidates the whole value.
     model_config = pydantic.ConfigDict(
         extra="ignore", frozen=True, strict=True, populate_by_name=False
     )
@@ -88,14 +88,14 @@
     prefix: str = pydantic.Field(pattern=r"^/(.*/)?$")
     kind: str
     timeout_ms: float = pydantic.Field(alias="timeoutMs", gt=0)
-    # The objective, whatever its name says: not a bound on latency.
+    # Despite its name this is the objective, not a bound on latency.
     target_ms: float = pydantic.Field(default=0, alias="targetLatencyMs")
     priority: int = 0
     service: str | None = None
     split: tuple[_Split, ...] = pydantic.Field(
         default=(), alias="trafficSplit"
     )
-    # Endpoints that one request may reach, not tries of any kind.
+    # Number of endpoints that a request may reach, not of all retries.
     attempts: int = pydantic.Field(default=1, alias="maxAttempts", ge=1)
     public: bool = False
     resumable: bool = False
@@ -129,7 +129,7 @@
     name: str
     keys: tuple[str, ...] = pydantic.Field(default=(), alias="apiKeys")
     priority: int | None = None
-    # "tokens", or anything else for whole requests.
+    # "tokens"; any other value means that requests are counted.
     unit: str = "requests"
     plain_tokens: float = pydantic.Field(default=0, alias="plainTokens")
     rate: float = pydantic.Field(default=0, alias="ratePerS")
@@ -170,7 +170,7 @@
 
 
 def parse_events(body: bytes) -> result.Result[StoreResponse, str]:
-    """Decode the changes that a watch told."""
+    """Decode the changes in the response to a watch."""
     try:
         page = _EventsPage.model_validate_json(body)
         return result.Ok(
@@ -186,7 +186,7 @@
 def parse_configuration(
     value: bytes,
 ) -> result.Result[models.Configuration, str]:
-    """Decode a configuration."""
+    """Decode the operators' configuration."""
     try:
         wire = _Configuration.model_validate_json(value)
         return result.Ok(_make_configuration(wire))
@@ -197,7 +197,7 @@
 def parse_endpoint(
     key: str, value: bytes
 ) -> result.Result[models.Endpoint, str]:
-    """Decode what an endpoint says of itself."""
+    """Decode the record of an endpoint."""
     try:
         record = _EndpointRecord.model_validate_json(value)
     except ValueError as error:
@@ -217,7 +217,7 @@
 
 
 def parse_evacuated_data_centre(key: str) -> str:
-    """Return the data centre that a key of the store takes out."""
+    """Return the name of the data centre that a key evacuates."""
     return key.removeprefix(const.PREFIX_EVACUATED)
 
 
@@ -257,7 +257,9 @@
     if not shares and wire.service is not None:
         shares = (models.Share(service=wire.service, weight=1.0),)
     if not shares:
-        raise ValueError(f"route {wire.name} names no service")
+        raise ValueError(
+            f"route {wire.name} has no service and no share with a weight"
+        )
     timeout = wire.timeout_ms / _MILLISECONDS
     return models.Route(
         name=wire.name,
@@ -305,7 +307,8 @@
 
 
 def _describe(error: Exception) -> str:
-    # Places and kinds of faults only: a value may hold a caller's key.
+    # Reports only where and what kind an error is, never the value, since
+    # that may contain a caller's key.
     if isinstance(error, pydantic.ValidationError):
         faults = [
             f"{'.'.join(map(str, f['loc']))}: {f['type']}"
@@ -318,16 +321,16 @@
 def dump_lookup(
     addresses: tuple[str, ...], ttl_seconds: float
 ) -> dict[str, Any]:
-    """Return the body of an answer to a caller's lookup.
+    """Return the body of the response to a caller's lookup.
 
     Args:
         addresses: "ip:port" of the instances to use.
-        ttl_seconds: how long the caller may keep the answer, seconds.
+        ttl_seconds: how long the caller may cache the response.
     """
     return {"addresses": list(addresses), "ttlS": ttl_seconds}
 
 
 def dump_error(code: int, name: str, message: str) -> bytes:
-    """Return the body of a refusal."""
+    """Return the body of a refusal, encoded as JSON."""
     body = {"error": {"code": code, "name": name, "message": message}}
     return json.dumps(body).encode()
--- a/citronport/platform/requests.py
+++ b/citronport/platform/requests.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers, decoded from and into wire names."""
+"""Decoding and encoding of the headers of requests and responses."""
 
 import collections.abc
 import dataclasses
@@ -12,7 +12,7 @@
 from citronport.scheduler.direct import models
 
 Fields = collections.abc.Mapping[str, str]
-"""Headers by their names in lower case."""
+"""Header values by lower-case name."""
 
 RETRY_AFTER = const.HEADER_RETRY_AFTER
 
@@ -21,18 +21,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerRequest:
-    """What the head of a caller's request says.
+    """Decoded headers of a caller's request.
 
     Attributes:
         request_id: id of this attempt of the caller.
-        key: the caller's key; empty without one.
-        timeout_seconds: how long the caller waits, seconds; None if not said.
-        prompt_tokens: tokens to read.
-        output_tokens: most tokens to write.
-        expected_tokens: tokens that the caller expects; the most without
-            such a guess.
-        has_token_counts: whether it told its tokens.
-        prompt_parts: ids of the prompt's parts, in order, with their tokens.
+        key: the caller's API key; empty if there is none.
+        timeout_seconds: how long the caller waits; None if not given.
+        prompt_tokens: number of tokens in the prompt.
+        output_tokens: maximum number of output tokens.
+        expected_tokens: number of output tokens that the caller expects;
+            the maximum if it gives no estimate.
+        has_token_counts: whether the request gives its token counts.
+        prompt_parts: id and token count of each part of the prompt, in
+            order.
     """
 
     request_id: str
@@ -47,18 +48,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EndpointAnswer:
-    """What the head of an endpoint's answer says.
+    """Decoded headers of an endpoint's response.
 
     Attributes:
         status: HTTP status.
-        request_id: id of the request that it answers; empty if not said.
+        request_id: id of the request that it answers; empty if not given.
         signature: the endpoint's signature; empty if there is none.
-        ran: False only if the endpoint says that it did not run it.
-        misdirected: whether another endpoint than the one that was meant has
-            answered, at the same address.
-        limit: requests a second that the endpoint takes from all instances
-            together, as it wrote it; None if it names none.
-        headers: what a caller gets, names as the endpoint wrote them.
+        ran: False only if the endpoint states that the request did not run.
+        misdirected: whether an endpoint other than the expected one
+            responded at the same address.
+        limit: requests a second that the endpoint accepts from all
+            instances together, undecoded; None if it states no limit.
+        headers: headers to pass to the caller, with unchanged names.
     """
 
     status: int
@@ -73,10 +74,10 @@
 def parse_request(
     fields: Fields,
 ) -> result.Result[CallerRequest, errors.Refusal]:
-    """Decode the head of a caller's request."""
+    """Decode the headers of a caller's request."""
     request_id = fields.get(const.HEADER_REQUEST_ID, "")
     if not request_id or len(request_id) > _MAX_ID_CHARS:
-        return _make_refusal("request id")
+        return _make_refusal("missing or overlong request id")
     try:
         prompt, output, has_token_counts = _parse_tokens(
             fields.get(const.HEADER_TOKEN_COUNTS)
@@ -85,7 +86,7 @@
         expected = int(fields.get(const.HEADER_LENGTH_HINT, output))
         timeout_seconds = _parse_timeout(fields.get(const.HEADER_DEADLINE))
     except ValueError:
-        return _make_refusal("a number is not valid")
+        return _make_refusal("invalid number in a header")
     return result.Ok(
         CallerRequest(
             request_id=request_id,
@@ -110,18 +111,18 @@
     timeout_seconds: float,
     resume_after: str | None = None,
 ) -> bytes:
-    """Return the bytes of a request to an endpoint.
+    """Encode a request to an endpoint.
 
     Args:
-        method: the caller's.
-        target: the caller's, path and query.
-        fields: the caller's headers.
-        body: the caller's.
-        endpoint: the only one that may run it.
-        workspace: whose request it is; None where no keys are used.
-        timeout_seconds: time left for the answer.
-        resume_after: id of the last event that the caller has got; None
-            to leave what the caller sent.
+        method: HTTP method of the caller's request.
+        target: path and query of the caller's request.
+        fields: headers of the caller's request.
+        body: body of the caller's request.
+        endpoint: the only endpoint that may run the request.
+        workspace: workspace of the request; None if no keys are used.
+        timeout_seconds: time left for the response.
+        resume_after: id of the last event that the caller has received;
+            None to leave the caller's own header unchanged.
     """
     headers = {
         name: value
@@ -147,7 +148,7 @@
 
 
 def parse_answer(answer: connection.Answer) -> EndpointAnswer:
-    """Decode the head of an endpoint's answer."""
+    """Decode the headers of an endpoint's response."""
     status = answer.status_code
     not_run = (
         const.HEADER_NOT_RUN in answer or status == const.STATUS_MISDIRECTED
@@ -169,18 +170,18 @@
 
 
 def parse_limit(text: str) -> result.Result[float, str]:
-    """Decode the limit that an endpoint names, requests a second."""
+    """Decode the limit stated by an endpoint, in requests a second."""
     try:
         rate = float(text)
     except ValueError:
-        return result.Err("no number")
+        return result.Err("not a number")
     if not math.isfinite(rate) or rate < 0:
-        return result.Err("no rate")
+        return result.Err("not a finite, non-negative rate")
     return result.Ok(rate)
 
 
 def make_refusal_headers(refusal: errors.Refusal) -> list[tuple[str, str]]:
-    """Return the headers of a refusal that tell when to come back."""
+    """Return the headers that state when to retry a refused request."""
     if refusal.retry_after is None:
         return []
     return [(RETRY_AFTER, f"{refusal.retry_after:.3f}")]
@@ -192,7 +193,7 @@
     prompt, _, output = text.partition(",")
     counts = int(prompt), int(output or 0)
     if min(counts) < 0:
-        raise ValueError("negative")
+        raise ValueError("negative token count")
     return *counts, True
 
 
--- a/tests/platform/test_client.py
+++ b/tests/platform/test_client.py
@@ -1,4 +1,4 @@
-"""The store's client against a store that fails in several ways."""
+"""Tests of the store's client with a store that fails in several ways."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 class ClientTest(testtools.TestCase):
-    """One question at a time."""
+    """Reads and watches over one connection."""
 
     def setUp(self):
         """Start a store with three items."""
@@ -20,7 +20,7 @@
         self.addCleanup(self.client.close)
 
     def test_pages(self):
-        """A page tells whether another follows, and from where."""
+        """A page states whether another one follows."""
         self.store.page = 2
         first = self.client.read("").unwrap()
         self.assertTrue(first.more)
@@ -32,7 +32,7 @@
         self.assertEqual(b'{"n": "c"}', rest.items[0].value)
 
     def test_watch_tells_changes_and_deletions(self):
-        """Only what came after the known revision is told."""
+        """A watch returns only the changes after the known revision."""
         known = self.store.revision
         self.store.put("servers/d", {})
         self.store.delete("servers/a")
@@ -44,16 +44,16 @@
         self.assertEqual(self.store.revision, answer.revision)
 
     def test_compacted_history(self):
-        """The store tells that its history is gone: read anew."""
+        """A watch from a revision that was compacted fails as such."""
         self.store.mode = "compacted"
         failure = self.client.watch("", 1, 0.1).unwrap_err()
         self.assertIsInstance(failure, client.Compacted)
 
     def test_connection_gone_silent(self):
-        """No answer ever comes; the next question takes a new connection.
+        """After a time-out the next request uses a new connection.
 
-        Where the connection were kept, every later question would wait
-        for nothing, though the store is well.
+        If the connection were kept, every later request would time out
+        although the store works.
         """
         self.store.mode = "silent"
         self.assertTrue(self.client.read("").is_err())
@@ -61,7 +61,7 @@
         self.assertTrue(self.client.read("").is_ok())
 
     def test_connection_gone_silent_within_an_answer(self):
-        """Half an answer came; the rest is not waited for."""
+        """A response that stops in the middle times out."""
         self.store.mode = "stalled"
         self.assertEqual(
             "no answer in time", self.client.read("").unwrap_err()
@@ -71,17 +71,17 @@
         self.assertTrue(self.client.read("").is_ok())
 
     def test_refusal_and_garbage_are_failures(self):
-        """Whatever can't be read is told as a reason, never as empty."""
+        """Invalid responses are failures, not empty pages."""
         for mode in ("busy", "garbage"):
             self.store.mode = mode
             self.assertTrue(self.client.read("").is_err())
 
 
 class ItemsTest(testtools.TestCase):
-    """Values that can't be decoded."""
+    """Store responses that can't be decoded."""
 
     def test_bad_base64_and_missing_fields(self):
-        """One reason each, without the value in it."""
+        """Each fault results in an error."""
         for body in (
             b'{"items":[{"key":"k","value":"%%","revision":1}],'
             b'"currentRev":1}',
--- a/tests/platform/test_models.py
+++ b/tests/platform/test_models.py
@@ -1,4 +1,4 @@
-"""What the store holds becomes the project's types, or a reason why not."""
+"""Tests of the decoders of the store's values."""
 
 import copy
 import json
@@ -71,15 +71,15 @@
 
 
 class ConfigurationTest(testtools.TestCase):
-    """Operators' configurations."""
+    """Decoding of the operators' configuration."""
 
     def parse(self, **changes):
-        """Decode the sample with changed fields."""
+        """Decode the sample configuration with changed fields."""
         raw = {**copy.deepcopy(CONFIGURATION), **changes}
         return models.parse_configuration(json.dumps(raw).encode())
 
     def test_whole(self):
-        """Units become seconds, names the project's."""
+        """Milliseconds become seconds, wire names become attributes."""
         found = self.parse().unwrap()
         route = found.routes[0]
         self.assertEqual(scheduler_models.RepeatPolicy.STREAM, route.repeat)
@@ -93,12 +93,12 @@
         self.assertEqual(6, found.services["llm"].engine.event_tokens)
 
     def test_without_tenants_no_key_is_asked_for(self):
-        """A configuration without workspaces is not one without keys."""
+        """Missing tenants disable keys; an empty list rejects every key."""
         self.assertIsNone(self.parse(tenants=None).unwrap().keys)
         self.assertEqual({}, self.parse(tenants=[]).unwrap().keys)
 
     def test_faults_are_named_by_place(self):
-        """A wrong value makes the whole version unusable."""
+        """A wrong value invalidates the configuration and is located."""
         for route in (
             {**ROUTE, "kind": "unheard-of"},
             {**ROUTE, "timeoutMs": "soon"},
@@ -109,23 +109,23 @@
         self.assertIn("version", reason)
 
     def test_no_key_in_a_reason(self):
-        """What is logged of a fault holds no caller's key."""
+        """The reason, which is logged, never contains a caller's key."""
         tenant = {"name": 5, "apiKeys": ["key-secret"]}
         reason = self.parse(tenants=[tenant]).unwrap_err()
         self.assertNotIn("key-secret", reason)
 
 
 class EndpointTest(testtools.TestCase):
-    """Entries that endpoints, or others, write."""
+    """Decoding of endpoint records, which any party may write."""
 
     def parse(self, **changes):
-        """Decode the sample entry with changed fields."""
+        """Decode the sample record with changed fields."""
         raw = {**ENTRY, **changes}
         raw = {k: v for k, v in raw.items() if v is not ...}
         return models.parse_endpoint("servers/i-1", json.dumps(raw).encode())
 
     def test_whole(self):
-        """The id comes from the key, times become seconds."""
+        """The name comes from the key, and times become seconds."""
         found = self.parse(born=1700).unwrap()
         self.assertEqual(("i-1", 1700), found.start_id)
         self.assertEqual(1.5, found.cold_seconds)
@@ -133,7 +133,7 @@
         self.assertTrue(self.parse(state="draining").unwrap().leaving)
 
     def test_entries_that_name_nobody(self):
-        """Missing fields, other types, unknown states, broken bytes."""
+        """Missing fields, wrong types and values, and invalid JSON fail."""
         for changes in (
             {"service": ...},
             {"slots": "8"},
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in their folder."""
+"""Tests that wire names of the platform occur only in its folder."""
 
 import pathlib
 import re
@@ -40,10 +40,10 @@
 
 
 class NamesTest(testtools.TestCase):
-    """Wire names of the pages, and the size of the folder."""
+    """Use of wire names, and the size of the folder."""
 
     def test_no_wire_name_outside_the_folder(self):
-        """What the platform renames is changed in one place."""
+        """A wire name of the platform can be changed in one place."""
         found = [
             f"{path.relative_to(ROOT)}:{number}: {line.strip()}"
             for path in sorted(ROOT.rglob("*.py"))
@@ -54,7 +54,7 @@
         self.assertEqual([], found)
 
     def test_folder_stays_small(self):
-        """It holds names, formats and calls."""
+        """The folder holds only names, data formats and calls."""
         lines = sum(
             len(path.read_text().splitlines())
             for path in (ROOT / "platform").glob("*.py")
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Heads of callers' requests."""
+"""Tests of the decoding of request headers."""
 
 import testtools
 
@@ -15,10 +15,10 @@
 
 
 class HeadTest(testtools.TestCase):
-    """Decoding and its faults."""
+    """Valid and invalid headers of callers and endpoints."""
 
     def test_whole(self):
-        """Each header becomes a field that says what it holds."""
+        """Each header is decoded into its attribute."""
         head = requests.parse_request(HEAD).unwrap()
         self.assertEqual(
             (1.5, 1460, 80, 40),
@@ -32,20 +32,20 @@
         self.assertEqual((("5c1e", 800), ("91bd", 660)), head.prompt_parts)
 
     def test_plain_request(self):
-        """Without tokens and without a deadline."""
+        """Token counts and the deadline are optional."""
         head = requests.parse_request({"x-attempt-id": "1"}).unwrap()
         self.assertFalse(head.has_token_counts)
         self.assertIsNone(head.timeout_seconds)
 
     def test_limit_of_an_endpoint(self):
-        """A rate, or a reason; nothing is read as no limit or as zero."""
+        """An invalid limit is an error, not zero or the lack of a limit."""
         self.assertEqual(2.6, requests.parse_limit("2.6").unwrap())
         self.assertEqual(0.0, requests.parse_limit("0").unwrap())
         for text in ("", "few", "-1", "nan", "inf"):
             self.assertTrue(requests.parse_limit(text).is_err(), text)
 
     def test_faults(self):
-        """A head that can't be read is refused, never read as zero."""
+        """Invalid headers are refused; none is decoded as zero."""
         for changes in (
             {"x-attempt-id": ""},
             {"x-token-counts": "many"},
