--- a/citronport/operators/__init__.py
+++ b/citronport/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The peer `operator`: status, metrics, drain."""
+"""Interface for operators: status, metrics, readiness and drain."""
--- a/citronport/operators/client.py
+++ b/citronport/operators/client.py
@@ -1,4 +1,4 @@
-"""Asks instances for their status and orders them to drain."""
+"""Client that reads the status of instances and requests drains."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,7 @@
 from citronport.operators import models
 
 CONNECTION_REFUSED = os.strerror(errno.ECONNREFUSED)
-"""Reason of an address at which nothing listens."""
+"""Reason reported for an address on which nothing listens."""
 
 _STATUS = pydantic.TypeAdapter(models.Status)
 
@@ -25,15 +25,15 @@
 def fetch_statuses(
     addresses: list[str], report_progress: ProgressCallback
 ) -> list[models.Answer]:
-    """Ask instances, and all others that they know, for their status.
+    """Read the status of instances and of all peers that they list.
 
     Args:
-        addresses: operators' "ip:port" to start from.
-        report_progress: called with how many were asked and how many are
-            known, after each answer.
+        addresses: operator "ip:port" of the instances to start from.
+        report_progress: called after each response with the number of
+            instances that were read and the number that are known.
 
     Returns:
-        One answer for each instance, in the order of their names.
+        One result for each instance, sorted by name.
     """
     known = {address: "" for address in addresses}
     answers: dict[str, models.Answer] = {}
@@ -54,18 +54,19 @@
 
 
 def request_drain(address: str) -> result.Result[None, str]:
-    """Order an instance to stop gracefully."""
+    """Request a graceful shutdown of an instance."""
     return _call(address, "POST", const.PATH_DRAIN).map(lambda _: None)
 
 
 def wait_for_exit(
     address: str, report_running: collections.abc.Callable[[int], None]
 ) -> bool:
-    """Wait until a draining instance has ended; return whether it has.
+    """Wait until a draining instance has exited; return whether it has.
 
     Args:
-        address: operators' "ip:port" of the instance.
-        report_running: called with the requests in progress, again and again.
+        address: operator "ip:port" of the instance.
+        report_running: called at each poll with the number of requests in
+            progress.
     """
     end = time.monotonic() + const.DRAIN_TIMEOUT_SECONDS
     while time.monotonic() < end:
@@ -92,7 +93,7 @@
         return address, _STATUS.validate_json(body)
     except pydantic.ValidationError:
         return address, models.Unreachable(
-            address=address, name="", reason="its answer is not a status"
+            address=address, name="", reason="response is not a valid status"
         )
 
 
@@ -122,8 +123,8 @@
         answer = client.request(method, path)
         body = bytes(answer.read(const.MAX_STATUS_BYTES))
     except Exception as error:
-        # The client raises socket, parser and timeout errors of several
-        # families; the operator is told which.
+        # The HTTP client raises socket, parser and time-out errors without
+        # a common base class; the operator is shown which one it was.
         text = getattr(error, "strerror", None) or type(error).__name__
         return result.Err(text)
     finally:
--- a/citronport/operators/const.py
+++ b/citronport/operators/const.py
@@ -1,4 +1,4 @@
-"""Constants of the protocol towards operators."""
+"""Constants of the HTTP interface for operators."""
 
 from typing import Final
 
@@ -8,21 +8,26 @@
 PATH_DRAIN: Final = "/drain"
 
 MAX_CONNECTIONS: Final = 64
-"""Connections served at once. A scraper and a few operators need less; a
-looping script must not take the callers' file descriptors."""
+"""Connections served concurrently.
+
+A metrics scraper and a few operators need fewer. The limit keeps a script
+that connects in a loop from using up the file descriptors of callers.
+"""
 
 REQUEST_TIMEOUT_SECONDS: Final = 3.0
-"""How long a status command waits for one instance."""
+"""Time-out of one request of the status and drain commands."""
 
 MAX_CONCURRENT_REQUESTS: Final = 50
-"""Instances asked at once: 510 answer within seconds, and the command
-stays far from the usual limit of open files."""
+"""Instances whose status is read concurrently.
+
+At this value 510 instances answer within seconds, and the command stays far
+below the usual limit of open files.
+"""
 
 DRAIN_TIMEOUT_SECONDS: Final = 660.0
-"""How long to wait for the end of a drain: the longest deadline of a
-request, and a minute."""
+"""Time-out of a drain: the longest deadline of a request plus a minute."""
 
 DRAIN_POLL_SECONDS: Final = 0.5
-"""Pause between two looks at an instance that drains."""
+"""Interval at which the status of a draining instance is polled."""
 
 MAX_STATUS_BYTES: Final = 4_000_000
--- a/citronport/operators/metrics.py
+++ b/citronport/operators/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an instance, made from its status and counts when read."""
+"""Metrics of an instance, built from its status and counts on request."""
 
 from typing import Any
 
@@ -18,8 +18,9 @@
 ) -> tuple[bytes, str]:
     """Return the metrics in the text format, and their content type.
 
-    All collectors are made anew for each reading: what is gone from the
-    instance is gone from its metrics, and nothing is added up twice.
+    All collectors are created anew for each scrape, so that endpoints which
+    the instance no longer has disappear from its metrics, and no value is
+    counted twice.
     """
     registry = aioprometheus.Registry()
     _add_instance(registry, status)
--- a/citronport/operators/models.py
+++ b/citronport/operators/models.py
@@ -1,18 +1,18 @@
-"""What an instance tells operators; the form of ``GET /status``."""
+"""Models of the response to ``GET /status``."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PeerStatus:
-    """Another instance, as the answering one sees it.
+    """Another instance, as seen by the responding instance.
 
     Attributes:
-        name: its name.
-        data_centre: where it stands.
-        listed: state in the platform's list.
-        operators: operators' "ip:port", empty if the list has none.
-        linked: whether a link to it is open; none is needed to each.
+        name: name of the instance.
+        data_centre: data centre of the instance.
+        listed: service state in the platform's list.
+        operators: operator "ip:port"; empty if the list has none.
+        linked: whether a link to it is open; not all peers need one.
     """
 
     name: str
@@ -24,19 +24,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EndpointStatus:
-    """An endpoint that the answering instance owns.
+    """An endpoint that the responding instance owns.
 
     Attributes:
-        name: its name.
+        name: name of the endpoint.
         kind: engine or plain service.
-        data_centre: where it stands.
-        listed: state in the catalogue.
-        connected: whether it answers.
-        cold: whether it counts as in cold start: not shown warm yet.
-        running: requests that this instance has in progress there.
-        concurrency: requests it runs well at once.
-        reported_running: requests in progress by its own last report.
-        reported_queued: requests waiting there by its own last report.
+        data_centre: data centre of the endpoint.
+        listed: service state in the catalogue.
+        connected: whether the endpoint responds.
+        cold: whether it is treated as cold because it was not yet seen to
+            be warm.
+        running: requests of this instance in progress at the endpoint.
+        concurrency: requests that it can run efficiently at once.
+        reported_running: requests in progress, by its latest load report.
+        reported_queued: requests waiting there, by its latest load report.
     """
 
     name: str
@@ -53,15 +54,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TierStatus:
-    """One tier at the answering instance.
+    """One tier at the responding instance.
 
     Attributes:
-        tier: 0 is served first.
-        running: requests in progress at endpoints it owns.
-        queued_tokens: work waiting for endpoints it owns.
-        outcomes: requests of its callers by outcome: "whole" is goodput,
-            "late" came after the deadline, "left" means that the caller
-            went, a number is the code of a refusal.
+        tier: number of the tier; 0 has the highest priority.
+        running: requests in progress at owned endpoints.
+        queued_tokens: tokens of the requests waiting for owned endpoints.
+        outcomes: number of its callers' requests by outcome: "whole" is
+            goodput, "late" completed after the deadline, "left" means that
+            the caller disconnected, and a number is the code of a refusal.
     """
 
     tier: int
@@ -72,24 +73,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Status:
-    """An instance.
+    """Status of an instance.
 
     Attributes:
-        instance: its name.
+        instance: name of the instance.
         incarnation: unique for each start of its process.
-        data_centre: where it stands.
+        data_centre: data centre of the instance.
         program: version of the program.
-        leaving: whether it takes no new work.
+        leaving: whether it accepts no new work.
         up_seconds: time since its start.
-        catalogue_version: in force here; 0 for none.
-        catalogue_seconds: time since that version came in force here.
-        list_version: of the instance list; 0 for none.
-        data_centres: state in the catalogue by name.
+        catalogue_version: catalogue version in force here; 0 for none.
+        catalogue_seconds: time since that version came into force here.
+        list_version: version of the instance list in force; 0 for none.
+        data_centres: service state in the catalogue, by data centre.
         peers: the other listed instances.
-        endpoints: those it owns.
-        tiers: from 0.
-        refusals: refusals given to its callers, by code.
-        task_deaths: unforeseen errors by task.
+        endpoints: endpoints that the instance owns.
+        tiers: all tiers, starting with 0.
+        refusals: number of refusals sent to its callers, by code.
+        task_deaths: number of unhandled errors, by task.
     """
 
     instance: str
@@ -111,12 +112,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unreachable:
-    """An instance that gave no status.
+    """An instance whose status could not be read.
 
     Attributes:
-        address: operators' "ip:port".
-        name: empty if nobody named it.
-        reason: why, one line.
+        address: operator "ip:port" of the instance.
+        name: name of the instance; empty if no other instance listed it.
+        reason: reason of the failure, in one line.
     """
 
     address: str
--- a/citronport/operators/overview.py
+++ b/citronport/operators/overview.py
@@ -1,4 +1,4 @@
-"""The fleet at a glance: tables for people, JSON for scripts."""
+"""Overview of the fleet as text tables or as JSON."""
 
 import collections
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 def render_json(answers: list[models.Answer]) -> str:
-    """Return the answers as one JSON object."""
+    """Return the status of all instances as one JSON object."""
     reached = [a for a in answers if isinstance(a, models.Status)]
     missed = [a for a in answers if isinstance(a, models.Unreachable)]
     return json.dumps(
@@ -31,8 +31,8 @@
     """Return tables of instances, data centres, endpoints and tiers.
 
     Args:
-        answers: one for each instance.
-        styled: whether to use the terminal's bold and colours.
+        answers: status or failure of each instance.
+        styled: whether to use bold type and colours of the terminal.
     """
     reached = [a for a in answers if isinstance(a, models.Status)]
     tables = [
--- a/citronport/operators/server.py
+++ b/citronport/operators/server.py
@@ -1,4 +1,4 @@
-"""Answers operators over HTTP: metrics, status, readiness, drain."""
+"""HTTP server for operators: metrics, status, readiness and drain."""
 
 import collections.abc
 import dataclasses
@@ -25,8 +25,8 @@
 
     Args:
         read_status: returns the status of this instance.
-        counts: what was counted since its start.
-        drain: orders a graceful stop.
+        counts: counts since the start of the process.
+        drain: starts a graceful shutdown.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> list[bytes]:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         match (environ["REQUEST_METHOD"], environ["PATH_INFO"]):
             case ("GET", const.PATH_METRICS):
                 body, content_type = metrics.render(
@@ -79,7 +79,7 @@
         return _respond_json(start_response, status_line, body)
 
     def _respond_drain(self, start_response: StartResponse) -> list[bytes]:
-        logging.info("%s drain ordered.", LOG)
+        logging.info("%s drain requested by an operator.", LOG)
         self._drain()
         return _respond_json(start_response, "202 Accepted", {"leaving": True})
 
@@ -87,7 +87,7 @@
 def make_server(
     listener: settings.Listener, application: Application
 ) -> pywsgi.WSGIServer:
-    """Return a server for operators; ``start`` makes it listen."""
+    """Return a server for operators; call ``start`` to listen."""
     return pywsgi.WSGIServer(
         (str(listener.address), listener.port),
         application,
@@ -112,7 +112,7 @@
     headers = [
         ("Content-Type", content_type),
         ("Content-Length", str(len(body))),
-        # An idle connection would hold one of the few places.
+        # An idle connection would use up one of MAX_CONNECTIONS.
         ("Connection", "close"),
     ]
     start_response(status_line, headers)
--- a/citronport/operators/status.py
+++ b/citronport/operators/status.py
@@ -1,4 +1,4 @@
-"""Puts the status of this instance together from its parts."""
+"""Collects the status of this instance from its components."""
 
 import collections.abc
 import dataclasses
@@ -15,22 +15,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StatusSources:
-    """What a status is read from; nothing is changed through it.
+    """Sources of a status, for reading only.
 
     Attributes:
-        settings: of this instance.
+        settings: settings of this instance.
         incarnation: unique for each start of the process.
         ticker: the clock.
-        published: catalogue and instance list.
-        counts: what was counted since the start.
-        summarize: work waiting and in progress, by tier.
-        get_owned_endpoints: names of the endpoints that this instance owns.
-        count_running: requests of this instance at an endpoint.
-        is_warm: whether an owned endpoint was shown warm.
+        published: store of the catalogue and the instance list.
+        counts: counts since the start of the process.
+        summarize: returns the waiting and running work of each tier.
+        get_owned_endpoints: returns the names of the owned endpoints.
+        count_running: returns the number of requests of this instance in
+            progress at an endpoint.
+        is_warm: whether an owned endpoint was seen to be warm.
         is_linked: whether a link to an instance is open.
-        is_leaving: whether no new work is taken.
-        connected: names of the endpoints that answer.
-        reports: last load report by endpoint.
+        is_leaving: whether the instance accepts no new work.
+        connected: names of the endpoints that respond.
+        reports: latest load report by endpoint.
     """
 
     settings: settings_module.Settings
@@ -49,10 +50,10 @@
 
 
 class StatusReader:
-    """Reads the status of an instance.
+    """Reads the current status of this instance.
 
     Args:
-        sources: where from.
+        sources: what the status is read from.
     """
 
     def __init__(self, sources: StatusSources) -> None:
@@ -62,7 +63,7 @@
         sources.published.add_listener(self._record_change)
 
     def read(self) -> models.Status:
-        """Return the status as it is now."""
+        """Return the current status."""
         sources = self._sources
         now = sources.ticker.now()
         versions = sources.published.get_versions()
--- a/tests/operators/__init__.py
+++ b/tests/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the peer `operator`."""
+"""Tests of citronport.operators."""
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators see and order, with real processes."""
+"""Tests of the operators' interface and commands with real processes."""
 
 import json
 import signal
@@ -32,7 +32,7 @@
 
 
 def call(address, path, method="GET"):
-    """Return status and body of an operator's call."""
+    """Send an HTTP request; return the status code and the body."""
     host, port = address.split(":")
     client = geventhttpclient.HTTPClient(host, int(port), network_timeout=10)
     answer = client.request(method, path)
@@ -42,7 +42,7 @@
 
 
 def run_program(*arguments):
-    """Run a command; return exit code and output."""
+    """Run a command of the program; return its exit code and output."""
     done = subprocess.run(
         [sys.executable, "-m", "citronport", *arguments],
         capture_output=True,
@@ -53,10 +53,10 @@
 
 
 class OperatorsTest(testtools.TestCase):
-    """A fleet of two instances and one engine, seen by its operators."""
+    """Status, metrics, traces and drain of two instances and one engine."""
 
     def setUp(self):
-        """Start the fleet and find who owns the engine."""
+        """Start the fleet and find the owner of the engine."""
         super().setUp()
         self.fleet = fleets.start_fleet(self, LAYOUT)
         self.operators = [
@@ -71,7 +71,7 @@
         self.owner = 0 if statuses[0]["endpoints"] else 1
 
     def send(self, address, **headers):
-        """Send a chat call that must be answered whole."""
+        """Send a chat request and check that its response is complete."""
         outcome = caller.send_patiently(
             address, "key-1", CHAT, self.body, headers=headers
         )
@@ -79,13 +79,13 @@
         return outcome
 
     def stop(self, number, *names):
-        """Signal instances and wait for their end."""
+        """Send a signal to instances and wait for their exit."""
         for name in names:
             self.fleet.running.signal(name, number)
             self.assertIsNotNone(self.fleet.running.wait(name, 20))
 
     def read_spans(self, trace_id):
-        """Return the spans of a trace from all instances, in order."""
+        """Return the spans of a trace from all instances, by start time."""
         spans = [
             json.loads(line)
             for path in self.fleet.folder.glob("*.spans.jsonl")
@@ -96,7 +96,7 @@
         return sorted(found, key=lambda s: s["start_ns"])
 
     def check_spans(self, spans, instance, hops, parent):
-        """Check one instance's part of a trace; return its spans by name."""
+        """Check one instance's spans of a trace; return them by name."""
         own = [s for s in spans if s["instance"] == instance]
         names = [s["name"] for s in own]
         self.assertEqual(["request", *hops], names)
@@ -107,7 +107,7 @@
         return {s["name"]: s for s in own}
 
     def check_metrics(self):
-        """Check that the metrics tell what callers got."""
+        """Check that the metrics count the responses to callers."""
         caller.send(self.callers[0], "wrong-key", CHAT, self.body)
         code, body = call(self.operators[0], "/metrics")
         self.assertEqual(200, code)
@@ -123,11 +123,12 @@
             self.assertIn(f"{line}\n", body)
 
     def test_forwarded_request_is_one_trace(self):
-        """A caller that traces its request finds each hop in its trace.
+        """All hops of a forwarded request have spans in the caller's trace.
 
-        It asks the instance that does not own the engine: that one admits
-        and forwards, the owner admits, queues, dispatches and streams,
-        and the engine is told the owner's dispatch as its parent.
+        The caller sends to the instance that does not own the engine. That
+        instance admits and forwards the request; the owner admits, queues,
+        dispatches and streams it, and the engine receives the owner's
+        dispatch span as its parent.
         """
         entry = self.fleet.instances[1 - self.owner]["name"]
         owner = self.fleet.instances[self.owner]["name"]
@@ -155,7 +156,7 @@
         dispatch = second["dispatch"]["span_id"]
         self.assertIn(f"00-{trace_id}-{dispatch}-01", told)
 
-        # Under a ticket of the owner it goes home without being decided.
+        # With a ticket of the owner it is forwarded without scheduling.
         _, trace_id, parent_id, _ = OTHER_PARENT.split("-")
         spans = self.read_spans(trace_id)
         first = self.check_spans(
@@ -165,10 +166,10 @@
         self.check_spans(spans, owner, OWNER_SPANS, forward)
 
     def test_status_and_metrics(self):
-        """One address shows the fleet; one that is gone is shown too.
+        """The status command shows the fleet, including dead instances.
 
-        An operator asks while one of two instances is dead: the dead one
-        is a line of the table, and the command succeeds.
+        It starts from one address while one of the two instances is dead.
+        The dead one gets a row in the table, and the command succeeds.
         """
         self.check_metrics()
         code, output = run_program("status", self.operators[0], "--json")
@@ -191,7 +192,7 @@
         self.assertEqual(1, code)
 
     def test_drain_stops_gracefully(self):
-        """A drain ends the process by itself, and only by POST."""
+        """A drain ends the process, and only POST starts it."""
         self.assertEqual(200, call(self.operators[0], "/ready")[0])
         self.assertEqual(405, call(self.operators[0], "/drain")[0])
         self.assertEqual(404, call(self.operators[0], "/other")[0])
--- a/tests/operators/test_pages.py
+++ b/tests/operators/test_pages.py
@@ -1,4 +1,4 @@
-"""The page for operators names what the program really tells."""
+"""Tests of the operators' manual and of the overview of the fleet."""
 
 import pathlib
 import re
@@ -52,15 +52,15 @@
 
 
 def read_section(title):
-    """Return the part of the page under a title."""
+    """Return the section of the manual under a title."""
     return PAGE.partition(f"### {title}\n")[2].partition("\n##")[0]
 
 
 class PagesTest(testtools.TestCase):
-    """Names on the page and in the program are the same."""
+    """The manual and the program agree on names."""
 
     def test_metrics(self):
-        """Each metric has a row, and each row is a metric."""
+        """The manual lists exactly the metrics of the program."""
         counts = telemetry.Counts()
         text = metrics.render(STATUS, counts)[0].decode()
         told = set(re.findall(r"^# TYPE citronport_(\w+)", text, re.M))
@@ -70,7 +70,7 @@
         self.assertIn('endpoint_running{endpoint="engine_1"} 1', text)
 
     def test_log_prefixes(self):
-        """Each part has one prefix, which has a row."""
+        """The manual lists exactly the log prefixes of the program."""
         sources = (ROOT / "citronport").rglob("*.py")
         used = {
             prefix
@@ -84,10 +84,10 @@
 
 
 class OverviewTest(testtools.TestCase):
-    """The fleet at a glance."""
+    """Text tables of the status command."""
 
     def test_tables(self):
-        """Each part of the fleet is a table; nobody's absence hides it."""
+        """The tables show all parts of the fleet and unreachable instances."""
         gone = models.Unreachable(
             address="127.0.0.1:1", name="entry-2", reason="refused"
         )
