--- a/citronport/relay/metrics.py
+++ b/citronport/relay/metrics.py
@@ -13,29 +13,31 @@
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0,
     float("inf"),
 )  # fmt: skip
-"""Upper bounds in seconds; among them the objectives of the deployments."""
+"""Upper bounds of histogram buckets, seconds. They include the latency
+objectives of the deployments."""
 
-_LABEL_ESCAPES = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
+_LABEL_REPLACEMENTS = str.maketrans({'"': "_", "\\": "_", "\n": "_"})
 
 
 def make_histogram() -> histogram.Histogram:
-    """Return an empty histogram of times."""
+    """Return an empty histogram of durations."""
     return histogram.Histogram(*BUCKETS)
 
 
 class Counts:
-    """What has happened since the start of the process.
+    """Counters and histograms since the start of the process.
 
     Attributes:
-        requests: by kind of route, tier and outcome.
-        refusals: by name of the numbered code.
-        sends: to endpoints, by what came of them.
-        leased: sends whose endpoint its owner chose.
-        repeats: sends beyond the first of a request.
-        cuts: sends under which the endpoint's connection broke.
-        first: time to the first byte of an answer, by kind of route.
-        pauses: longest pause of each stream.
-        waits: time in the queue here.
+        requests: requests by kind of route, tier and outcome.
+        refusals: refusals by name of the result code.
+        sends: sends to endpoints, by result.
+        leased_sends: sends to an endpoint that its owner chose.
+        repeats: sends of a request beyond the first one.
+        cut_sends: sends during which the endpoint's connection broke.
+        first_byte_seconds: time to the first byte of an answer, by kind of
+            route.
+        longest_pauses: longest pause of each stream.
+        queue_seconds: time in the queue of this instance.
     """
 
     def __init__(self) -> None:
@@ -44,44 +46,46 @@
         )
         self.refusals: collections.Counter[str] = collections.Counter()
         self.sends: collections.Counter[str] = collections.Counter()
-        self.leased = 0
+        self.leased_sends = 0
         self.repeats = 0
-        self.cuts = 0
-        self.first: dict[str, histogram.Histogram] = collections.defaultdict(
-            make_histogram
+        self.cut_sends = 0
+        self.first_byte_seconds: dict[str, histogram.Histogram] = (
+            collections.defaultdict(make_histogram)
         )
-        self.pauses = make_histogram()
-        self.waits = make_histogram()
+        self.longest_pauses = make_histogram()
+        self.queue_seconds = make_histogram()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class State:
-    """What an instance is like at the moment of reading.
+    """State of an instance at the time of a scrape.
 
     Attributes:
         up_seconds: time since the start.
-        ready: whether callers should come here.
+        ready: whether callers should use this instance.
         running: requests in progress.
         waiting: requests that wait for an endpoint.
-        peers: other instances in reach.
-        known: instances that may serve callers, with this one.
-        configuration: version in force; 0 without one.
-        store_seconds: age of the store's newest answer.
-        store_revision: up to which all changes are known.
+        peers_in_reach: other instances in reach.
+        known_instances: instances that may serve callers, including this one.
+        configuration_version: version in force; 0 without one.
+        store_seconds: age of the store's latest answer.
+        store_revision: store revision up to which all changes are known.
         store_calls: calls to the store since the start.
-        store_failures: of these, without a usable answer.
-        summaries_made: of this data centre, for other ones.
-        summaries_taken: of other data centres; the same one counts once.
-        news_taken: fetches of changes from other instances.
-        news_failed: those that broke or took too long.
-        news_received: bytes that came by both.
-        news_behind_seconds: time for which others have known more.
+        store_failures: calls to the store without a usable answer.
+        summaries_made: summaries made of this data centre.
+        summaries_taken: summaries applied of other data centres; the same
+            one counts once.
+        news_taken: successful fetches of changes from other instances.
+        news_failed: fetches that failed or timed out.
+        news_received: bytes received by all fetches.
+        news_behind_seconds: time for which others have been ahead.
         endpoints: listed endpoints.
-        cold: of these, cold ones.
-        limited: of these, those that name a limit in their answers.
-        leases: places handed out to other instances now.
-        barred: requests that are not sent, as endpoints ended under them.
-        lines_dropped: log lines not written since they were last told.
+        cold: cold endpoints.
+        limited: endpoints that name a limit in their answers.
+        leases: places granted to other instances now.
+        barred: requests that are not sent any more, as they are suspected
+            of crashing endpoints.
+        lines_dropped: log lines dropped since they were last logged.
         oldest_report_seconds: age of the oldest report in use.
     """
 
@@ -89,9 +93,9 @@
     ready: bool
     running: int
     waiting: int
-    peers: int
-    known: int
-    configuration: int
+    peers_in_reach: int
+    known_instances: int
+    configuration_version: int
     store_seconds: float
     store_revision: int
     store_calls: int
@@ -141,9 +145,15 @@
     gauge("ready", "1 while callers should come here.", int(state.ready))
     gauge("running", "Requests in progress.", state.running)
     gauge("waiting", "Requests that wait for an endpoint.", state.waiting)
-    gauge("peers_in_reach", "Other instances in reach.", state.peers)
-    gauge("instances_known", "Instances that may serve.", state.known)
-    gauge("configuration_version", "Version in force.", state.configuration)
+    gauge("peers_in_reach", "Other instances in reach.", state.peers_in_reach)
+    gauge(
+        "instances_known", "Instances that may serve.", state.known_instances
+    )
+    gauge(
+        "configuration_version",
+        "Version in force.",
+        state.configuration_version,
+    )
     gauge(
         "store_age_seconds",
         "Age of the store's newest answer.",
@@ -189,14 +199,14 @@
         "sends_total",
         "Sends to endpoints, by result.",
         (
-            ({"result": r.translate(_LABEL_ESCAPES)}, number)
+            ({"result": r.translate(_LABEL_REPLACEMENTS)}, number)
             for r, number in counts.sends.items()
         ),
     )
     counter(
         "leased_sends_total",
         "Sends to endpoints that their owner chose.",
-        [({}, counts.leased)],
+        [({}, counts.leased_sends)],
     )
     counter(
         "repeats_total",
@@ -206,7 +216,7 @@
     counter(
         "cut_sends_total",
         "Sends under which the endpoint's connection broke.",
-        [({}, counts.cuts)],
+        [({}, counts.cut_sends)],
     )
     counter(
         "store_calls_total",
@@ -251,10 +261,18 @@
         (
             "first_byte_seconds",
             "Time to the first byte of an answer.",
-            {kind: each for kind, each in counts.first.items()},
+            {kind: each for kind, each in counts.first_byte_seconds.items()},
+        ),
+        (
+            "pause_seconds",
+            "Longest pause of a stream.",
+            {"": counts.longest_pauses},
+        ),
+        (
+            "wait_seconds",
+            "Time in the queue here.",
+            {"": counts.queue_seconds},
         ),
-        ("pause_seconds", "Longest pause of a stream.", {"": counts.pauses}),
-        ("wait_seconds", "Time in the queue here.", {"": counts.waits}),
     ):
         collector = aioprometheus.Histogram(
             f"citronport_{name}", doc, registry=registry, buckets=BUCKETS
--- a/tests/relay/test_pages.py
+++ b/tests/relay/test_pages.py
@@ -1,4 +1,4 @@
-"""The page of operations names what the relay really tells."""
+"""The operations page lists the log events and metrics that exist."""
 
 import dataclasses
 import pathlib
@@ -17,9 +17,9 @@
     ready=True,
     running=2,
     waiting=0,
-    peers=6,
-    known=7,
-    configuration=7,
+    peers_in_reach=6,
+    known_instances=7,
+    configuration_version=7,
     store_seconds=0.5,
     store_revision=9,
     store_calls=30,
@@ -47,7 +47,7 @@
 
 
 class PagesTest(testtools.TestCase):
-    """Names on the page and in the program are the same."""
+    """Names on the page are those in the code."""
 
     def test_events(self):
         """Each event has a row, and each row is an event."""
@@ -56,21 +56,21 @@
             for value in vars(events).values()
             if dataclasses.is_dataclass(value)
         ]
-        told = {eventlog.get_event_name(kind) for kind in kinds}
+        logged = {eventlog.get_event_name(kind) for kind in kinds}
         self.assertEqual(
-            told, set(re.findall(r"`(\w+)`", read_rows("The lines")))
+            logged, set(re.findall(r"`(\w+)`", read_rows("The lines")))
         )
 
     def test_metrics(self):
         """Each metric has a row, and each row is a metric."""
         counts = metrics.Counts()
         counts.requests["stream", 0, "answered"] += 1
-        counts.first["stream"].observe(0.2)
-        counts.waits.observe(0.0)
+        counts.first_byte_seconds["stream"].observe(0.2)
+        counts.queue_seconds.observe(0.0)
         text = metrics.render(STATE, counts)[0].decode()
-        told = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
+        rendered = set(re.findall(r"^# TYPE (citronport_\w+)", text, re.M))
         named = set(re.findall(r"`(citronport_\w+)", read_rows("Metrics")))
-        self.assertEqual(told, named)
+        self.assertEqual(rendered, named)
         self.assertIn(
             'first_byte_seconds_bucket{kind="stream",le="0.2"} 1', text
         )
