--- a/citronport/platform/client.py
+++ b/citronport/platform/client.py
@@ -22,7 +22,7 @@
     """The store no longer has the history since the requested revision."""
 
 
-Outcome = result.Result[models.StoreResponse, str | Compacted]
+ReadResult = result.Result[models.StoreResponse, str | Compacted]
 
 
 class Client:
@@ -43,7 +43,7 @@
         self._connection: connection.Connection | None = None
         self.received = 0
 
-    def read(self, prefix: str, after: str = "") -> Outcome:
+    def read(self, prefix: str, after: str = "") -> ReadResult:
         """Read one page of the items whose keys begin with a prefix.
 
         Args:
@@ -55,7 +55,7 @@
             query["after"] = after
         return self._request(const.PATH_RANGE, query, 0.0, models.parse_range)
 
-    def watch(self, prefix: str, revision: int, wait: float) -> Outcome:
+    def watch(self, prefix: str, revision: int, wait: float) -> ReadResult:
         """Wait for changes later than a revision.
 
         Args:
@@ -86,7 +86,7 @@
         parse: collections.abc.Callable[
             [bytes], result.Result[models.StoreResponse, str]
         ],
-    ) -> Outcome:
+    ) -> ReadResult:
         self.received = 0
         target = f"{path}?{urllib.parse.urlencode(query)}"
         try:
@@ -111,20 +111,22 @@
             if self._connection is None or not self._connection.is_idle():
                 self.close()
                 self._connection = connection.connect(self._address)
-            used = self._connection
-            used.send(connection.encode_request(self._address, "GET", target))
-            status = used.read_head().status_code
+            current = self._connection
+            current.send(
+                connection.encode_request(self._address, "GET", target)
+            )
+            status = current.read_head().status_code
         chunks = []
         # The idle time-out applies to each chunk. A large response takes
         # longer than that over a slow link, and if it were dropped and
         # requested again each time, it might never complete.
-        while data := self._read_chunk(used):
+        while data := self._read_chunk(current):
             chunks.append(data)
             self.received += len(data)
-        if not used.is_reusable():
+        if not current.is_reusable():
             self.close()
         return status, b"".join(chunks)
 
-    def _read_chunk(self, used: connection.Connection) -> bytes:
+    def _read_chunk(self, current: connection.Connection) -> bytes:
         with gevent.Timeout(self._idle_seconds, TimeoutError):
-            return used.read()
+            return current.read()
--- a/citronport/platform/requests.py
+++ b/citronport/platform/requests.py
@@ -11,10 +11,10 @@
 from citronport.platform import const
 from citronport.scheduler.direct import models
 
-Fields = collections.abc.Mapping[str, str]
+Headers = collections.abc.Mapping[str, str]
 """Header values by lower-case name."""
 
-RETRY_AFTER = const.HEADER_RETRY_AFTER
+HEADER_RETRY_AFTER = const.HEADER_RETRY_AFTER
 
 _MAX_ID_CHARS = 200
 
@@ -72,7 +72,7 @@
 
 
 def parse_request(
-    fields: Fields,
+    fields: Headers,
 ) -> result.Result[CallerRequest, errors.Refusal]:
     """Decode the headers of a caller's request."""
     request_id = fields.get(const.HEADER_REQUEST_ID, "")
@@ -104,7 +104,7 @@
 def make_request(
     method: str,
     target: str,
-    fields: Fields,
+    fields: Headers,
     body: bytes,
     endpoint: models.Endpoint,
     workspace: str | None,
@@ -184,7 +184,7 @@
     """Return the headers that state when to retry a refused request."""
     if refusal.retry_after is None:
         return []
-    return [(RETRY_AFTER, f"{refusal.retry_after:.3f}")]
+    return [(HEADER_RETRY_AFTER, f"{refusal.retry_after:.3f}")]
 
 
 def _parse_tokens(text: str | None) -> tuple[int, int, bool]:
--- a/citronport/relay/jobs.py
+++ b/citronport/relay/jobs.py
@@ -38,7 +38,7 @@
     service: str
     method: str
     target: str
-    headers: requests.Fields
+    headers: requests.Headers
     body: bytes
     fingerprint: str
     workspace: models.Workspace | None
--- a/citronport/relay/refusals.py
+++ b/citronport/relay/refusals.py
@@ -19,7 +19,9 @@
         close: whether the connection must be closed after the response.
     """
     status, headers, data = replies.render_refusal(refusal)
-    headers = [h for h in headers if h[0].lower() != requests.RETRY_AFTER]
+    headers = [
+        h for h in headers if h[0].lower() != requests.HEADER_RETRY_AFTER
+    ]
     headers += requests.make_refusal_headers(refusal)
     if close:
         headers.append(("Connection", "close"))
--- a/tests/catalogue/test_client.py
+++ b/tests/catalogue/test_client.py
@@ -83,9 +83,9 @@
         """
         self.patch(random, "uniform", lambda low, high: high)
         self.patch(client.logging, "warning", lambda *words: None)
-        late = {}
+        delays = {}
         for seconds in range(1, 60):
             delay = self.measure_delay(seconds)
             if delay > MAX_DELAY_SECONDS:
-                late[seconds] = delay
-        self.assertEqual({}, late)
+                delays[seconds] = delay
+        self.assertEqual({}, delays)
--- a/tests/catalogue/test_store.py
+++ b/tests/catalogue/test_store.py
@@ -53,7 +53,7 @@
         self.store.apply(publish(self.first))
         self.store.apply(publish(self.second))
 
-    def test_difference_leads_to_the_same_value(self):
+    def test_delta_produces_the_same_value(self):
         """A peer that is one version behind gets only the changes."""
         peer = store.Store()
         peer.apply(publish(self.first))
@@ -63,7 +63,7 @@
         self.assertTrue(peer.apply_delta(PATH, change))
         self.assertEqual(self.store.fleet, peer.fleet)
 
-    def test_peer_with_another_document_needs_the_whole(self):
+    def test_delta_to_another_document_is_rejected(self):
         """The checksum detects different values under the same version.
 
         The platform published version 1 twice. Without the checksum the
@@ -77,7 +77,7 @@
         self.assertFalse(peer.apply_delta(PATH, change))
         self.assertEqual(1, peer.get_versions()[PATH])
 
-    def test_older_and_wrong_values_change_nothing(self):
+    def test_older_and_invalid_values_are_ignored(self):
         """A stale value, a late delta and an invalid edit are ignored."""
         fleet = self.store.fleet
         (change,) = self.store.find_deltas(PATH, 1)
@@ -88,15 +88,15 @@
         self.assertTrue(self.store.apply_delta(PATH, change))
         self.assertIs(fleet, self.store.fleet)
 
-    def test_history_that_does_not_reach_back(self):
+    def test_version_older_than_the_kept_deltas(self):
         """A peer that is too far behind gets no deltas."""
         self.assertEqual([], self.store.find_deltas(PATH, 0))
 
     def test_order_of_items_does_not_matter(self):
         """The checksum of a value does not depend on the items' order."""
-        turned = copy.deepcopy(self.second)
-        turned["endpoints"].reverse()
+        reordered = copy.deepcopy(self.second)
+        reordered["endpoints"].reverse()
         self.assertEqual(
             delta.compute_checksum(delta.dump(self.second)),
-            delta.compute_checksum(delta.dump(turned)),
+            delta.compute_checksum(delta.dump(reordered)),
         )
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -152,9 +152,9 @@
         )
         self.assertNotIn("what is due?", json.dumps(spans))
         lines = journal.read_lines(self.fleet.folder / "engine-1.jsonl")
-        told = [n["parent"] for n in lines if n["kind"] == "traced"]
+        parent_headers = [n["parent"] for n in lines if n["kind"] == "traced"]
         dispatch = second["dispatch"]["span_id"]
-        self.assertIn(f"00-{trace_id}-{dispatch}-01", told)
+        self.assertIn(f"00-{trace_id}-{dispatch}-01", parent_headers)
 
         # With a ticket of the owner it is forwarded without scheduling.
         _, trace_id, parent_id, _ = OTHER_PARENT.split("-")
--- a/tests/operators/test_pages.py
+++ b/tests/operators/test_pages.py
@@ -63,10 +63,10 @@
         """The manual lists exactly the metrics of the program."""
         counts = telemetry.Counts()
         text = metrics.render(STATUS, counts)[0].decode()
-        told = set(re.findall(r"^# TYPE citronport_(\w+)", text, re.M))
+        exported = set(re.findall(r"^# TYPE citronport_(\w+)", text, re.M))
         rows = re.findall(r"^\| (`.*?) \|", read_section("Metrics"), re.M)
-        named = set(re.findall(r"`(\w+)", " ".join(rows)))
-        self.assertEqual(told, named)
+        documented = set(re.findall(r"`(\w+)", " ".join(rows)))
+        self.assertEqual(exported, documented)
         self.assertIn('endpoint_running{endpoint="engine_1"} 1', text)
 
     def test_log_prefixes(self):
--- a/tests/platform/test_client.py
+++ b/tests/platform/test_client.py
@@ -31,7 +31,7 @@
         self.assertFalse(rest.more)
         self.assertEqual(b'{"n": "c"}', rest.items[0].value)
 
-    def test_watch_tells_changes_and_deletions(self):
+    def test_watch_returns_changes_and_deletions(self):
         """A watch returns only the changes after the known revision."""
         known = self.store.revision
         self.store.put("servers/d", {})
@@ -49,7 +49,7 @@
         failure = self.client.watch("", 1, 0.1).unwrap_err()
         self.assertIsInstance(failure, client.Compacted)
 
-    def test_connection_gone_silent(self):
+    def test_connection_without_response(self):
         """After a time-out the next request uses a new connection.
 
         If the connection were kept, every later request would time out
@@ -60,7 +60,7 @@
         self.store.mode = "well"
         self.assertTrue(self.client.read("").is_ok())
 
-    def test_connection_gone_silent_within_an_answer(self):
+    def test_response_that_stops_in_the_middle(self):
         """A response that stops in the middle times out."""
         self.store.mode = "stalled"
         self.assertEqual(
@@ -77,7 +77,7 @@
             self.assertTrue(self.client.read("").is_err())
 
 
-class ItemsTest(testtools.TestCase):
+class InvalidPageTest(testtools.TestCase):
     """Store responses that can't be decoded."""
 
     def test_bad_base64_and_missing_fields(self):
--- a/tests/platform/test_models.py
+++ b/tests/platform/test_models.py
@@ -78,7 +78,7 @@
         raw = {**copy.deepcopy(CONFIGURATION), **changes}
         return models.parse_configuration(json.dumps(raw).encode())
 
-    def test_whole(self):
+    def test_complete_configuration(self):
         """Milliseconds become seconds, wire names become attributes."""
         found = self.parse().unwrap()
         route = found.routes[0]
@@ -92,12 +92,12 @@
         self.assertTrue(found.workspaces["shop"].counts_tokens)
         self.assertEqual(6, found.services["llm"].engine.event_tokens)
 
-    def test_without_tenants_no_key_is_asked_for(self):
+    def test_missing_tenants_disable_keys(self):
         """Missing tenants disable keys; an empty list rejects every key."""
         self.assertIsNone(self.parse(tenants=None).unwrap().keys)
         self.assertEqual({}, self.parse(tenants=[]).unwrap().keys)
 
-    def test_faults_are_named_by_place(self):
+    def test_invalid_values(self):
         """A wrong value invalidates the configuration and is located."""
         for route in (
             {**ROUTE, "kind": "unheard-of"},
@@ -108,7 +108,7 @@
         reason = self.parse(version="seven").unwrap_err()
         self.assertIn("version", reason)
 
-    def test_no_key_in_a_reason(self):
+    def test_error_contains_no_key(self):
         """The reason, which is logged, never contains a caller's key."""
         tenant = {"name": 5, "apiKeys": ["key-secret"]}
         reason = self.parse(tenants=[tenant]).unwrap_err()
@@ -124,7 +124,7 @@
         raw = {k: v for k, v in raw.items() if v is not ...}
         return models.parse_endpoint("servers/i-1", json.dumps(raw).encode())
 
-    def test_whole(self):
+    def test_complete_record(self):
         """The name comes from the key, and times become seconds."""
         found = self.parse(born=1700).unwrap()
         self.assertEqual(("i-1", 1700), found.start_id)
@@ -132,7 +132,7 @@
         self.assertFalse(found.leaving)
         self.assertTrue(self.parse(state="draining").unwrap().leaving)
 
-    def test_entries_that_name_nobody(self):
+    def test_invalid_records(self):
         """Missing fields, wrong types and values, and invalid JSON fail."""
         for changes in (
             {"service": ...},
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -14,10 +14,10 @@
 }
 
 
-class HeadTest(testtools.TestCase):
+class HeadersTest(testtools.TestCase):
     """Valid and invalid headers of callers and endpoints."""
 
-    def test_whole(self):
+    def test_complete_headers(self):
         """Each header is decoded into its attribute."""
         head = requests.parse_request(HEAD).unwrap()
         self.assertEqual(
@@ -31,7 +31,7 @@
         )
         self.assertEqual((("5c1e", 800), ("91bd", 660)), head.prompt_parts)
 
-    def test_plain_request(self):
+    def test_optional_headers(self):
         """Token counts and the deadline are optional."""
         head = requests.parse_request({"x-attempt-id": "1"}).unwrap()
         self.assertFalse(head.has_token_counts)
@@ -44,7 +44,7 @@
         for text in ("", "few", "-1", "nan", "inf"):
             self.assertTrue(requests.parse_limit(text).is_err(), text)
 
-    def test_faults(self):
+    def test_invalid_headers(self):
         """Invalid headers are refused; none is decoded as zero."""
         for changes in (
             {"x-attempt-id": ""},
