--- a/citronport/platform/client.py
+++ b/citronport/platform/client.py
@@ -1,4 +1,4 @@
-"""Reads the platform's store and watches it; it can't be written."""
+"""Read-only client of the platform's key-value store."""
 
 import collections.abc
 import urllib.parse
@@ -13,85 +13,88 @@
 
 _STATUS_COMPACTED = 410
 
-WHOLE_SECONDS = 6.0
-"""How long an answer may take that keeps coming: a page of 1 MB takes 4 s on
-half a link of 5 Mbit/s."""
+RESPONSE_TIMEOUT_SECONDS = 6.0
+"""Time limit of a response that keeps arriving; a page of 1 MB takes 4 s on
+half of a 5 Mbit/s link."""
 
 
 class Compacted:
-    """The store keeps no history back to the revision asked for."""
+    """The store no longer has the history since the requested revision."""
 
 
-Outcome = result.Result[models.Answer, str | Compacted]
+ReadResult = result.Result[models.StoreResponse, str | Compacted]
 
 
 class Client:
-    """One connection to the store, opened when it is needed.
+    """One connection to the store, opened on demand.
 
     Args:
         address: "ip:port" of the store.
-        seconds: how long the store may send nothing, beyond a watch's wait.
+        idle_seconds: how long the store may send nothing; for a watch this
+            is added to the wait.
 
     Attributes:
-        received: bytes of the latest answer's body that came.
+        received: bytes received of the latest response's body.
     """
 
-    def __init__(self, address: str, seconds: float) -> None:
+    def __init__(self, address: str, idle_seconds: float) -> None:
         self._address = address
-        self._seconds = seconds
+        self._idle_seconds = idle_seconds
         self._connection: connection.Connection | None = None
         self.received = 0
 
-    def read(self, prefix: str, after: str = "") -> Outcome:
+    def read(self, prefix: str, after: str = "") -> ReadResult:
         """Read one page of the items whose keys begin with a prefix.
 
         Args:
-            prefix: of the keys.
-            after: last key of the page before, or empty.
+            prefix: prefix of the keys.
+            after: last key of the previous page, or empty.
         """
         query = {"prefix": prefix}
         if after:
             query["after"] = after
-        return self._ask(const.PATH_RANGE, query, 0.0, models.parse_range)
+        return self._request(const.PATH_RANGE, query, 0.0, models.parse_range)
 
-    def watch(self, prefix: str, revision: int, wait: float) -> Outcome:
+    def watch(self, prefix: str, revision: int, wait: float) -> ReadResult:
         """Wait for changes later than a revision.
 
         Args:
-            prefix: of the keys.
-            revision: the last one that is known.
-            wait: seconds for which the store may hold the question.
+            prefix: prefix of the keys.
+            revision: the latest revision that is known.
+            wait: seconds for which the store may hold the request.
         """
         query = {
             "prefix": prefix,
             "after": str(revision),
             "waitMs": str(int(wait * 1000)),
         }
-        return self._ask(const.PATH_WATCH, query, wait, models.parse_events)
+        return self._request(
+            const.PATH_WATCH, query, wait, models.parse_events
+        )
 
     def close(self) -> None:
-        """Close the connection; the next question opens another."""
+        """Close the connection; the next request opens a new one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    def _ask(
+    def _request(
         self,
         path: str,
         query: dict[str, str],
         wait: float,
         parse: collections.abc.Callable[
-            [bytes], result.Result[models.Answer, str]
+            [bytes], result.Result[models.StoreResponse, str]
         ],
-    ) -> Outcome:
+    ) -> ReadResult:
         self.received = 0
         target = f"{path}?{urllib.parse.urlencode(query)}"
         try:
-            with gevent.Timeout(wait + WHOLE_SECONDS, TimeoutError):
+            with gevent.Timeout(wait + RESPONSE_TIMEOUT_SECONDS, TimeoutError):
                 status, body = self._exchange(target, wait)
         except TimeoutError:
-            # The connection may have gone silent for good: an answer that
-            # is lost on it never comes, while a new one works.
+            # The connection may be broken without a sign of it. A lost
+            # response never arrives on it, while a new connection works.
             self.close()
             return result.Err("no answer in time")
         except (OSError, http_response.HTTPParseError) as error:
@@ -104,24 +107,26 @@
         return parse(body)
 
     def _exchange(self, target: str, wait: float) -> tuple[int, bytes]:
-        with gevent.Timeout(wait + self._seconds, TimeoutError):
+        with gevent.Timeout(wait + self._idle_seconds, TimeoutError):
             if self._connection is None or not self._connection.is_idle():
                 self.close()
                 self._connection = connection.connect(self._address)
-            used = self._connection
-            used.send(connection.encode_request(self._address, "GET", target))
-            status = used.read_head().status_code
-        parts = []
-        # Each piece has its own time: a large answer on a slow link takes
-        # longer than a silence may, and one that is thrown away and asked
-        # for anew may never come to its end.
-        while data := self._read_piece(used):
-            parts.append(data)
+            current = self._connection
+            current.send(
+                connection.encode_request(self._address, "GET", target)
+            )
+            status = current.read_head().status_code
+        chunks = []
+        # The idle time-out applies to each chunk. A large response takes
+        # longer than that over a slow link, and if it were dropped and
+        # requested again each time, it might never complete.
+        while data := self._read_chunk(current):
+            chunks.append(data)
             self.received += len(data)
-        if not used.is_reusable():
+        if not current.is_reusable():
             self.close()
-        return status, b"".join(parts)
+        return status, b"".join(chunks)
 
-    def _read_piece(self, used: connection.Connection) -> bytes:
-        with gevent.Timeout(self._seconds, TimeoutError):
-            return used.read()
+    def _read_chunk(self, current: connection.Connection) -> bytes:
+        with gevent.Timeout(self._idle_seconds, TimeoutError):
+            return current.read()
--- a/tests/operators/test_pages.py
+++ b/tests/operators/test_pages.py
@@ -1,4 +1,4 @@
-"""The page for operators names what the program really tells."""
+"""Tests of the operators' manual and of the overview of the fleet."""
 
 import pathlib
 import re
@@ -51,26 +51,26 @@
 )
 
 
-def read_part(title):
-    """Return the part of the page under a title."""
+def read_section(title):
+    """Return the section of the manual under a title."""
     return PAGE.partition(f"### {title}\n")[2].partition("\n##")[0]
 
 
 class PagesTest(testtools.TestCase):
-    """Names on the page and in the program are the same."""
+    """The manual and the program agree on names."""
 
     def test_metrics(self):
-        """Each metric has a row, and each row is a metric."""
+        """The manual lists exactly the metrics of the program."""
         counts = telemetry.Counts()
         text = metrics.render(STATUS, counts)[0].decode()
-        told = set(re.findall(r"^# TYPE citronport_(\w+)", text, re.M))
-        rows = re.findall(r"^\| (`.*?) \|", read_part("Metrics"), re.M)
-        named = set(re.findall(r"`(\w+)", " ".join(rows)))
-        self.assertEqual(told, named)
+        exported = set(re.findall(r"^# TYPE citronport_(\w+)", text, re.M))
+        rows = re.findall(r"^\| (`.*?) \|", read_section("Metrics"), re.M)
+        documented = set(re.findall(r"`(\w+)", " ".join(rows)))
+        self.assertEqual(exported, documented)
         self.assertIn('endpoint_running{endpoint="engine_1"} 1', text)
 
     def test_log_prefixes(self):
-        """Each part has one prefix, which has a row."""
+        """The manual lists exactly the log prefixes of the program."""
         sources = (ROOT / "citronport").rglob("*.py")
         used = {
             prefix
@@ -79,15 +79,15 @@
                 r'^LOG = "(\w+:)"$', source.read_text(), re.M
             )
         }
-        rows = re.findall(r"^\| `(\w+:)` \|", read_part("Log lines"), re.M)
+        rows = re.findall(r"^\| `(\w+:)` \|", read_section("Log lines"), re.M)
         self.assertEqual(used, set(rows))
 
 
 class OverviewTest(testtools.TestCase):
-    """The fleet at a glance."""
+    """Text tables of the status command."""
 
     def test_tables(self):
-        """Each part of the fleet is a table; nobody's absence hides it."""
+        """The tables show all parts of the fleet and unreachable instances."""
         gone = models.Unreachable(
             address="127.0.0.1:1", name="entry-2", reason="refused"
         )
