--- a/citronport/platform/models.py
+++ b/citronport/platform/models.py
@@ -1,4 +1,4 @@
-"""What the platform's store holds, decoded into the project's types."""
+"""Decoders of the values in the platform's store."""
 
 import base64
 import binascii
@@ -14,7 +14,7 @@
 
 _MILLISECONDS = 1000.0
 
-_REPEATS = {
+_REPEAT_POLICIES = {
     "idempotent": models.RepeatPolicy.IDEMPOTENT,
     "non_idempotent": models.RepeatPolicy.NON_IDEMPOTENT,
     "streaming": models.RepeatPolicy.STREAM,
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Item:
-    """A value in the store.
+    """One item of the store.
 
     Attributes:
-        key: its key.
-        value: its bytes; None once it was deleted.
-        revision: the store's revision of its last change.
+        key: key of the item.
+        value: content of the item; None if it was deleted.
+        revision: revision of the store at the item's last change.
     """
 
     key: str
@@ -37,12 +37,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Answer:
-    """What the store answered.
+class StoreResponse:
+    """Decoded response of the store.
 
     Attributes:
-        items: in the order of the answer.
-        revision: the store's revision at the time of the answer.
+        items: items or changes, in the order of the response.
+        revision: revision of the store at the time of the response.
         more: whether another page follows.
     """
 
@@ -51,65 +51,65 @@
     more: bool = False
 
 
-class _Wire(pydantic.BaseModel):
-    # Fields that are not known here may come at any time; a wrong type in
-    # one that is known makes the whole value unusable.
+class _WireModel(pydantic.BaseModel):
+    # Unknown fields are ignored, since the platform may add some at any
+    # time. A wrong type in a known field invalidates the whole value.
     model_config = pydantic.ConfigDict(
         extra="ignore", frozen=True, strict=True, populate_by_name=False
     )
 
 
-class _Item(_Wire):
+class _Item(_WireModel):
     key: str
     value: str = ""
     revision: int
     deleted: bool = False
 
 
-class _Range(_Wire):
+class _RangePage(_WireModel):
     items: tuple[_Item, ...]
     revision: int = pydantic.Field(alias="currentRev")
     more: bool = pydantic.Field(default=False, alias="morePages")
 
 
-class _Events(_Wire):
+class _EventsPage(_WireModel):
     events: tuple[_Item, ...]
     revision: int = pydantic.Field(alias="currentRev")
 
 
-class _Split(_Wire):
+class _Split(_WireModel):
     service: str
     weight: float = pydantic.Field(ge=0)
 
 
-class _Route(_Wire):
+class _Route(_WireModel):
     name: str
     host: str
     prefix: str = pydantic.Field(pattern=r"^/(.*/)?$")
     kind: str
     timeout_ms: float = pydantic.Field(alias="timeoutMs", gt=0)
-    # The objective, whatever its name says: not a bound on latency.
+    # Despite its name this is the objective, not a bound on latency.
     target_ms: float = pydantic.Field(default=0, alias="targetLatencyMs")
     priority: int = 0
     service: str | None = None
     split: tuple[_Split, ...] = pydantic.Field(
         default=(), alias="trafficSplit"
     )
-    # Endpoints that one request may reach, not tries of any kind.
+    # Number of endpoints that a request may reach, not of all retries.
     attempts: int = pydantic.Field(default=1, alias="maxAttempts", ge=1)
     public: bool = False
     resumable: bool = False
     gap_ms: float | None = pydantic.Field(default=None, alias="gapAimMs")
 
 
-class _Engine(_Wire):
+class _Engine(_WireModel):
     slots: int = pydantic.Field(ge=1)
     cache_tokens: int = pydantic.Field(default=0, alias="kvCapacity")
     # Tokens in one event of a stream.
     stride: int = pydantic.Field(default=1, ge=1)
 
 
-class _Service(_Wire):
+class _Service(_WireModel):
     name: str
     health_path: str = pydantic.Field(default="/healthz", alias="healthPath")
     max_connections: int = pydantic.Field(default=0, alias="maxConns")
@@ -118,33 +118,33 @@
     engine: _Engine | None = None
 
 
-class _Limits(_Wire):
+class _Limits(_WireModel):
     head_bytes: int = pydantic.Field(alias="maxHeaderBytes", gt=0)
     body_bytes: int = pydantic.Field(alias="maxBodyBytes", gt=0)
     head_ms: float = pydantic.Field(alias="headerTimeoutMs", gt=0)
     idle_ms: float = pydantic.Field(alias="idleTimeoutMs", gt=0)
 
 
-class _Tenant(_Wire):
+class _Workspace(_WireModel):
     name: str
     keys: tuple[str, ...] = pydantic.Field(default=(), alias="apiKeys")
     priority: int | None = None
-    # "tokens", or anything else for whole requests.
+    # "tokens"; any other value means that requests are counted.
     unit: str = "requests"
     plain_tokens: float = pydantic.Field(default=0, alias="plainTokens")
     rate: float = pydantic.Field(default=0, alias="ratePerS")
     burst: float = 0
 
 
-class _Configuration(_Wire):
+class _Configuration(_WireModel):
     version: int
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
     limits: _Limits
-    tenants: tuple[_Tenant, ...] | None = None
+    tenants: tuple[_Workspace, ...] | None = None
 
 
-class _Entry(_Wire):
+class _EndpointRecord(_WireModel):
     service: str
     address: str = pydantic.Field(pattern=r"^\d+\.\d+\.\d+\.\d+:\d+$")
     zone: str
@@ -154,12 +154,12 @@
     born: int = 0
 
 
-def parse_range(body: bytes) -> result.Result[Answer, str]:
+def parse_range(body: bytes) -> result.Result[StoreResponse, str]:
     """Decode a page of the store's items."""
     try:
-        page = _Range.model_validate_json(body)
+        page = _RangePage.model_validate_json(body)
         return result.Ok(
-            Answer(
+            StoreResponse(
                 items=tuple(_make_item(item) for item in page.items),
                 revision=page.revision,
                 more=page.more,
@@ -169,12 +169,12 @@
         return result.Err(_describe(error))
 
 
-def parse_events(body: bytes) -> result.Result[Answer, str]:
-    """Decode the changes that a watch told."""
+def parse_events(body: bytes) -> result.Result[StoreResponse, str]:
+    """Decode the changes in the response to a watch."""
     try:
-        page = _Events.model_validate_json(body)
+        page = _EventsPage.model_validate_json(body)
         return result.Ok(
-            Answer(
+            StoreResponse(
                 items=tuple(_make_item(item) for item in page.events),
                 revision=page.revision,
             )
@@ -186,7 +186,7 @@
 def parse_configuration(
     value: bytes,
 ) -> result.Result[models.Configuration, str]:
-    """Decode a configuration."""
+    """Decode the operators' configuration."""
     try:
         wire = _Configuration.model_validate_json(value)
         return result.Ok(_make_configuration(wire))
@@ -197,27 +197,27 @@
 def parse_endpoint(
     key: str, value: bytes
 ) -> result.Result[models.Endpoint, str]:
-    """Decode what an endpoint says of itself."""
+    """Decode the record of an endpoint."""
     try:
-        entry = _Entry.model_validate_json(value)
+        record = _EndpointRecord.model_validate_json(value)
     except ValueError as error:
         return result.Err(_describe(error))
     return result.Ok(
         models.Endpoint(
             name=key.removeprefix(const.PREFIX_ENDPOINTS),
-            service=entry.service,
-            address=entry.address,
-            data_centre=entry.zone,
-            slots=entry.slots,
-            leaving=entry.state == "draining",
-            cold_seconds=entry.cold_ms / _MILLISECONDS,
-            started=entry.born,
+            service=record.service,
+            address=record.address,
+            data_centre=record.zone,
+            slots=record.slots,
+            leaving=record.state == "draining",
+            cold_seconds=record.cold_ms / _MILLISECONDS,
+            started=record.born,
         )
     )
 
 
-def parse_evacuated(key: str) -> str:
-    """Return the data centre that a key of the store takes out."""
+def parse_evacuated_data_centre(key: str) -> str:
+    """Return the name of the data centre that a key evacuates."""
     return key.removeprefix(const.PREFIX_EVACUATED)
 
 
@@ -257,13 +257,15 @@
     if not shares and wire.service is not None:
         shares = (models.Share(service=wire.service, weight=1.0),)
     if not shares:
-        raise ValueError(f"route {wire.name} names no service")
+        raise ValueError(
+            f"route {wire.name} has no service and no share with a weight"
+        )
     timeout = wire.timeout_ms / _MILLISECONDS
     return models.Route(
         name=wire.name,
         host=wire.host.lower(),
         prefix=wire.prefix,
-        repeat=_REPEATS[wire.kind],
+        repeat=_REPEAT_POLICIES[wire.kind],
         timeout=timeout,
         objective=wire.target_ms / _MILLISECONDS or timeout,
         tier=wire.priority,
@@ -293,7 +295,7 @@
     )
 
 
-def _make_workspace(wire: _Tenant) -> models.Workspace:
+def _make_workspace(wire: _Workspace) -> models.Workspace:
     return models.Workspace(
         name=wire.name,
         tier=wire.priority,
@@ -305,7 +307,8 @@
 
 
 def _describe(error: Exception) -> str:
-    # Places and kinds of faults only: a value may hold a caller's key.
+    # Reports only where and what kind an error is, never the value, since
+    # that may contain a caller's key.
     if isinstance(error, pydantic.ValidationError):
         faults = [
             f"{'.'.join(map(str, f['loc']))}: {f['type']}"
@@ -315,17 +318,19 @@
     return type(error).__name__
 
 
-def dump_lookup(addresses: tuple[str, ...], keep: float) -> dict[str, Any]:
-    """Return the body of an answer to a caller's lookup.
+def dump_lookup(
+    addresses: tuple[str, ...], ttl_seconds: float
+) -> dict[str, Any]:
+    """Return the body of the response to a caller's lookup.
 
     Args:
         addresses: "ip:port" of the instances to use.
-        keep: how long the caller may keep the answer, seconds.
+        ttl_seconds: how long the caller may cache the response.
     """
-    return {"addresses": list(addresses), "ttlS": keep}
+    return {"addresses": list(addresses), "ttlS": ttl_seconds}
 
 
 def dump_error(code: int, name: str, message: str) -> bytes:
-    """Return the body of a refusal."""
+    """Return the body of a refusal, encoded as JSON."""
     body = {"error": {"code": code, "name": name, "message": message}}
     return json.dumps(body).encode()
--- a/tests/catalogue/test_client.py
+++ b/tests/catalogue/test_client.py
@@ -1,4 +1,4 @@
-"""How soon an edit is known after the platform was away."""
+"""Tests of the delay of an edit after an outage of the platform."""
 
 import random
 
@@ -9,32 +9,32 @@
 from citronport.catalogue import client
 from citronport.catalogue import const
 
-FORCE_SECONDS = 9.0
-"""Within which an edit is in force everywhere."""
+MAX_DELAY_SECONDS = 9.0
+"""Time within which an edit has to be in force everywhere."""
 
 
-class _KnownError(Exception):
-    """The edit has arrived."""
+class _EditDeliveredError(Exception):
+    """The edit was delivered."""
 
 
-class AwayPlatform:
-    """A platform that falls silent for a while, on the paused clock.
+class UnresponsivePlatform:
+    """A platform that stops responding for a while, on a manual clock.
 
-    A question that is asked meanwhile, or was held then, stays without an
-    answer, also once the platform is back.
+    Requests that are sent or open during the outage are never answered,
+    also not after the platform has recovered.
     """
 
-    def __init__(self, ticker, away_from, back_at):
+    def __init__(self, ticker, silent_from, back_at):
         self._ticker = ticker
-        self._away = (away_from, back_at)
+        self._silent = (silent_from, back_at)
 
-    def ask(self, path, address, version, wait):
-        """Return the edit that is published as the platform returns."""
+    def fetch(self, path, address, version, wait):
+        """Return the edit that is published when the platform recovers."""
         held = wait if version else 0.0
-        start, end = self._away
+        start, end = self._silent
         now = self._ticker.now()
         if start <= now < end or now < start < now + held:
-            self._ticker.advance(held + const.CONNECT_SECONDS)
+            self._ticker.advance(held + const.CONNECT_TIMEOUT_SECONDS)
             return result.Err("TimeoutError")
         newest = 2 if now >= end else 1
         if version < newest:
@@ -46,45 +46,46 @@
 
 
 class OutageTest(testtools.TestCase):
-    """One instance; nobody else tells it of edits."""
+    """A single instance, which gets edits from the platform only."""
 
-    def find_delay(self, away_seconds):
-        """Return the time from the platform's return to the edit."""
+    def measure_delay(self, away_seconds):
+        """Return the time from recovery to the delivery of the edit."""
         ticker = clock.ManualClock(100.0)
         back_at = 110.0 + away_seconds
-        platform = AwayPlatform(ticker, 110.0, back_at)
-        self.patch(client, "ask", platform.ask)
+        platform = UnresponsivePlatform(ticker, 110.0, back_at)
+        self.patch(client, "fetch", platform.fetch)
 
         def deliver(published):
             if published.version == 2:
-                raise _KnownError
+                raise _EditDeliveredError
 
         try:
             client.watch(
                 const.PATH_CATALOGUE,
-                const.WATCH_SECONDS,
+                const.CATALOGUE_WATCH_SECONDS,
                 ("platform",),
                 ticker,
                 deliver,
-                lambda asked, version: None,
+                lambda requested_at, version: None,
                 lambda path, outcome: None,
             )
-        except _KnownError:
+        except _EditDeliveredError:
             return ticker.now() - back_at
 
     def test_edit_is_in_force_soon_after_an_outage(self):
-        """Callers are refused for 20 s after an edit that lets them in.
+        """An edit is in force soon after the platform has recovered.
 
-        The platform falls silent and comes back; a watch that it held then
-        is out for its whole length, and so is each question of a watch
-        that follows: any of them hides the return. A short watch, and
-        questions that wait for nothing while they fail, bound both.
+        Guards against callers being refused for 20 s after an edit that
+        admits them. A watch that was open during the outage is lost for
+        its full duration, as is each retry sent before the recovery, and
+        any of them delays its detection. A short watch and retries without
+        a hold time bound the delay.
         """
         self.patch(random, "uniform", lambda low, high: high)
         self.patch(client.logging, "warning", lambda *words: None)
-        late = {}
+        delays = {}
         for seconds in range(1, 60):
-            delay = self.find_delay(seconds)
-            if delay > FORCE_SECONDS:
-                late[seconds] = delay
-        self.assertEqual({}, late)
+            delay = self.measure_delay(seconds)
+            if delay > MAX_DELAY_SECONDS:
+                delays[seconds] = delay
+        self.assertEqual({}, delays)
--- a/tests/catalogue/test_store.py
+++ b/tests/catalogue/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of published values and their differences."""
+"""Tests of published values and their deltas."""
 
 import copy
 import json
@@ -34,69 +34,69 @@
 
 
 def publish(document):
-    """Return a document as the platform publishes it."""
+    """Return a document in the form that the platform publishes."""
     return client.Published(
         path=PATH, version=document["version"], value=json.dumps(document)
     )
 
 
 class StoreTest(testtools.TestCase):
-    """A version never goes back, and a bad one changes nothing."""
+    """Versions only increase, and invalid values are not applied."""
 
     def setUp(self):
-        """Hold two versions, one endpoint changed and one gone."""
+        """Apply two versions; the second changes and removes an endpoint."""
         super().setUp()
         self.first = make_document(1, ["a", "b", "c"])
         self.second = make_document(2, ["a", "b"])
         self.second["endpoints"][1]["state"] = "leaving"
         self.store = store.Store()
-        self.store.offer(publish(self.first))
-        self.store.offer(publish(self.second))
+        self.store.apply(publish(self.first))
+        self.store.apply(publish(self.second))
 
-    def test_difference_leads_to_the_same_value(self):
-        """A peer that is one behind gets what changed only."""
+    def test_delta_produces_the_same_value(self):
+        """A peer that is one version behind gets only the changes."""
         peer = store.Store()
-        peer.offer(publish(self.first))
+        peer.apply(publish(self.first))
         (change,) = self.store.find_deltas(PATH, 1)
         self.assertEqual(["b"], [i["name"] for i in change.items["endpoints"]])
         self.assertEqual(["c"], change.dropped["endpoints"])
-        self.assertTrue(peer.offer_delta(PATH, change))
+        self.assertTrue(peer.apply_delta(PATH, change))
         self.assertEqual(self.store.fleet, peer.fleet)
 
-    def test_peer_with_another_document_needs_the_whole(self):
-        """The checksum shows that two hold different values as one version.
+    def test_delta_to_another_document_is_rejected(self):
+        """The checksum detects different values under the same version.
 
         The platform published version 1 twice. Without the checksum the
-        difference would be put on top of the wrong one, unseen for ever.
+        delta would be applied to the wrong value, and nobody would notice.
         """
         other = copy.deepcopy(self.first)
         other["endpoints"][0]["port"] = 9001
         peer = store.Store()
-        peer.offer(publish(other))
+        peer.apply(publish(other))
         (change,) = self.store.find_deltas(PATH, 1)
-        self.assertFalse(peer.offer_delta(PATH, change))
+        self.assertFalse(peer.apply_delta(PATH, change))
         self.assertEqual(1, peer.get_versions()[PATH])
 
-    def test_older_and_wrong_values_change_nothing(self):
-        """A stale platform, a late difference and a bad edit."""
+    def test_older_and_invalid_values_are_ignored(self):
+        """A stale value, a late delta and an invalid edit are ignored."""
         fleet = self.store.fleet
         (change,) = self.store.find_deltas(PATH, 1)
         bad = make_document(3, ["a", "a"])
         with self.assertLogs(level="ERROR"):
-            self.assertFalse(self.store.offer(publish(bad)))
-        self.assertFalse(self.store.offer(publish(self.first)))
-        self.assertTrue(self.store.offer_delta(PATH, change))
+            self.assertFalse(self.store.apply(publish(bad)))
+        self.assertFalse(self.store.apply(publish(self.first)))
+        self.assertTrue(self.store.apply_delta(PATH, change))
         self.assertIs(fleet, self.store.fleet)
 
-    def test_history_that_does_not_reach_back(self):
-        """A peer that is too far behind gets the whole value."""
+    def test_version_older_than_the_kept_deltas(self):
+        """A peer that is too far behind gets no deltas."""
         self.assertEqual([], self.store.find_deltas(PATH, 0))
 
     def test_order_of_items_does_not_matter(self):
-        """Checksums of one value agree however it was put together."""
-        turned = copy.deepcopy(self.second)
-        turned["endpoints"].reverse()
+        """The checksum of a value does not depend on the items' order."""
+        reordered = copy.deepcopy(self.second)
+        reordered["endpoints"].reverse()
         self.assertEqual(
-            delta.make_checksum(delta.dump(self.second)),
-            delta.make_checksum(delta.dump(turned)),
+            delta.compute_checksum(delta.dump(self.second)),
+            delta.compute_checksum(delta.dump(reordered)),
         )
