--- a/citronport/catalogue/const.py
+++ b/citronport/catalogue/const.py
@@ -52,7 +52,8 @@
 FALLBACK_POLL_SECONDS: Final = 30.0
 """Interval at which instances that are not readers poll the platform.
 
-All readers that such an instance can reach may have lost the platform.
+Needed when all readers that such an instance can reach have lost their
+connection to the platform.
 """
 
 READER_CHECK_SECONDS: Final = 1.0
