--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, endpoints and callers."""
+"""Test doubles of the platform, the endpoints and the callers."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,8 @@
-"""Command line of the stand-ins: each serves until it is killed."""
+"""Command line of the stand-ins.
+
+The servers run until they are killed; the demo, scenario and soak commands
+end by themselves.
+"""
 
 import gevent.monkey
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in for a caller: looks entries up, sends, keeps what it got."""
+"""Stand-in for a caller: looks up entries, sends requests, keeps results."""
 
 import dataclasses
 import json
@@ -12,31 +12,35 @@
 
 NOT_RUN = "not run"
 RECONNECT_DELAY_SECONDS = 0.1
-"""Pause after a connection that broke without an answer."""
+"""Pause before the next attempt if a connection broke without an answer."""
 
 STATUS_NO_LISTENER = 599
-"""How the fault proxy says that nobody listens behind it."""
+"""Status by which the fault proxy reports that the target is not listening.
+
+It stands for a refused connection; see ``_Connection.reply_no_listener``.
+"""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What a caller got for one request.
+    """Result of one attempt to send a request.
 
     Attributes:
         status: HTTP status, 0 if the connection failed.
-        code: numbered code of a refusal, None otherwise.
-        ran: what a refusal says about the run; "not sent" if nothing
-            listened.
-        text: the answer's text, as far as it came.
-        whole: whether the answer came to its proper end.
-        clean: whether the connection said that this was all.
-        answer_id: request id that the answer names.
-        retry_after: seconds, None if not told.
-        seconds: time to the end.
-        first_seconds: time to the first token, None if none came.
-        sent_to: the entry that was used.
-        may_retry: whether a refusal lets the same request come again.
-        go_to: entries that a refusal names to use instead.
+        code: numeric code of a refusal or a stream error, else None.
+        ran: whether the request ran, according to the refusal; "not sent"
+            if the connection was refused; None if nothing was said.
+        text: the answer's text, as far as it was received.
+        whole: whether the answer was received completely.
+        clean: whether the HTTP message ended as framed, without a cut.
+        answer_id: request id in the answer.
+        retry_after: seconds to wait before a retry, None if not given.
+        seconds: time from sending to the end of the attempt.
+        first_seconds: time to the first token, None if none was received.
+        sent_to: address of the instance that the request was sent to.
+        may_retry: whether the refusal allows the same request to be sent
+            again.
+        go_to: addresses that the refusal names to be used instead.
     """
 
     status: int
@@ -55,19 +59,26 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it settles the request: an answer, or no hope."""
+        """Whether the request is settled, so that no retry is allowed."""
         if self.whole:
             return True
         if self.ran is None:
             return False
-        # A refusal that names other entries forbids a repeat at this one.
+        # A refusal that names other addresses forbids a retry at this one,
+        # but allows it there.
         may_come = self.may_retry or bool(self.go_to)
         return not may_come or self.ran != NOT_RUN
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Entries:
-    """The answer of a lookup."""
+    """Result of a lookup.
+
+    Attributes:
+        addresses: instances to send requests to.
+        ticket: sent along with idempotency keys.
+        keep_seconds: how long the result may be cached.
+    """
 
     addresses: tuple[str, ...]
     ticket: str
@@ -75,21 +86,21 @@
 
 
 def look_up(address: str, key: str) -> Entries:
-    """Ask an entry which entries to use.
+    """Ask an instance which instances to send requests to.
 
     Raises:
-        OSError: the entry could not be reached or refused.
+        OSError: the instance could not be reached or refused the lookup.
     """
     client = _connect(address, 5.0)
     try:
         answer = client.get("/v1/entries", {"Authorization": f"Bearer {key}"})
         body = json.loads(answer.read())
     except Exception as error:
-        raise OSError(f"look-up at {address}: {error}") from error
+        raise OSError(f"lookup at {address} failed: {error}") from error
     finally:
         client.close()
     if answer.status_code != 200:
-        raise OSError(f"look-up at {address}: {body}")
+        raise OSError(f"lookup at {address} was refused: {body}")
     return Entries(
         addresses=tuple(body["entries"]),
         ticket=body["ticket"],
@@ -98,7 +109,7 @@
 
 
 def look_up_code(address: str, key: str) -> int | None:
-    """Look up; return 0, the refusal's code, or None without an answer."""
+    """Return 0 for an accepted lookup, a refusal's code, None if no answer."""
     client = _connect(address, 2.0)
     try:
         answer = client.get("/v1/entries", {"Authorization": f"Bearer {key}"})
@@ -111,14 +122,14 @@
 
 
 def encode_body(body: dict[str, Any]) -> bytes:
-    """Return a body as it is sent."""
+    """Encode a request body as JSON."""
     return json.dumps(body).encode()
 
 
 def make_chat(
     model: str, prompt: str, max_tokens: int, *, stream: bool = True
 ) -> dict[str, Any]:
-    """Return the body of a chat call."""
+    """Return the body of a chat completion request."""
     return {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
@@ -128,7 +139,7 @@
 
 
 def make_expected(body: dict[str, Any]) -> str:
-    """Return the text that a whole answer to a chat call has."""
+    """Return the text of the complete answer to a chat request."""
     return answers.make_text(engine.make_prompt(body), body["max_tokens"])
 
 
@@ -142,7 +153,7 @@
     headers: dict[str, str] | None = None,
     method: str = "POST",
 ) -> Outcome:
-    """Send one request once, on a connection of its own."""
+    """Send a request once, on its own connection."""
     started = time.monotonic()
     client = _connect(address, deadline + 5)
     sent = {
@@ -260,7 +271,7 @@
     retry_seconds: float = 15.0,
     **options: Any,
 ) -> Outcome:
-    """Send until a request is taken, as long as "not run" is the answer."""
+    """Send a request; retry for a while if it is refused as "not run"."""
     end = time.monotonic() + retry_seconds
     while True:
         outcome = send(address, key, path, body, **options)
@@ -270,11 +281,11 @@
 
 
 class Caller:
-    """One workspace's client: it keeps the lookup and obeys refusals.
+    """A workspace's client, which caches lookups and follows refusals.
 
     Args:
         key: the workspace key.
-        addresses: entries to ask first, "ip:port".
+        addresses: "ip:port" of the instances to send the first lookup to.
     """
 
     def __init__(self, key: str, addresses: list[str]) -> None:
@@ -291,16 +302,16 @@
         deadline: float,
         key: str | None = None,
     ) -> list[Outcome]:
-        """Send a request until it is settled or its deadline is over.
+        """Send a request until it is settled or its deadline has passed.
 
         Args:
-            path: where to send it.
-            body: what to send.
+            path: path of the URL.
+            body: request body.
             deadline: seconds.
             key: idempotency key of a request that may run only once.
 
         Returns:
-            What each attempt gave; the last one stands.
+            The outcome of each attempt; the last one is final.
         """
         end = time.monotonic() + deadline
         attempts: list[Outcome] = []
@@ -309,8 +320,8 @@
         while (left := end - time.monotonic()) > 0:
             entries = self._find_entries()
             if key is not None and headers is None:
-                # A repeat goes under the first ticket: another one would
-                # make it another request.
+                # Retries keep the first ticket: with another ticket they
+                # would count as a different request.
                 headers = _make_idempotency_headers(key, entries.ticket)
             last = attempts[-1] if attempts else None
             addresses = (last.go_to if last else ()) or entries.addresses
@@ -338,8 +349,9 @@
             return self._entries
         known = self._entries.addresses if self._entries else ()
         found = self._ask((*known, *self._addresses))
-        # The ticket comes from the entry that the requests go to: one
-        # from elsewhere costs a hop to its home for each request.
+        # The ticket is taken from the instance that the requests go to.
+        # A ticket of another instance would cost one more hop, to the
+        # instance that issued it, for each request.
         first = found.addresses[0]
         found = self._ask((first, *found.addresses[1:], *self._addresses))
         self._entries = found
@@ -352,7 +364,7 @@
                 return look_up(address, self._key)
             except OSError:
                 continue
-        raise OSError("no entry answers")
+        raise OSError("lookup failed at every known address")
 
 
 def _make_idempotency_headers(key: str, ticket: str) -> dict[str, str]:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The main job on a fleet of processes: both users' workloads, checked."""
+"""Runs both users' workloads on a fleet of processes; checks the results."""
 
 import dataclasses
 import json
@@ -20,19 +20,19 @@
 
 SEED = 7
 HARD_LIMIT_SECONDS = 110.0
-"""The demo ends with a failure when it takes longer."""
+"""Time after which the demo is aborted as failed."""
 
 STOP_SECONDS = 20.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Phase:
-    """A part of the run.
+    """A phase of the run with a constant load.
 
     Attributes:
-        name: what is shown.
-        seconds: how long it lasts.
-        factor: offered work against the usual rate.
+        name: shown in the progress lines.
+        seconds: duration.
+        factor: offered load as a multiple of the normal rate.
     """
 
     name: str
@@ -49,12 +49,12 @@
 
 
 class Demo:
-    """One run.
+    """One run of the demo.
 
     Args:
-        running: the processes.
-        subnet: second and third number of all addresses.
-        seed: draws arrivals, workspaces and subjects.
+        running: starts the processes of the fleet.
+        subnet: second and third octet of all addresses.
+        seed: of the random arrivals, workspaces and prompts.
     """
 
     def __init__(
@@ -158,7 +158,7 @@
         subnet: second and third number of the loopback addresses.
         seed: draws the work.
     """
-    # The processes end with this one, also when it is told to end.
+    # Raise SystemExit on SIGTERM, so that the child processes end too.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     with tempfile.TemporaryDirectory() as folder:
         running = processes.Processes(pathlib.Path(folder))
--- a/standins/demo_figures.py
+++ b/standins/demo_figures.py
@@ -1,4 +1,4 @@
-"""Figures of a demo run, from the callers' and the stand-ins' records."""
+"""Computes a demo run's figures from the callers' records and the journals."""
 
 import collections
 import dataclasses
@@ -14,19 +14,19 @@
 from standins import journal
 
 LEAVE_GRACE_SECONDS = 5.0
-"""Work may still reach a data centre so long after the order to leave."""
+"""Time after the edit in which work may still arrive in a data centre."""
 
 BLOCK_TOKENS = 128
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Record:
-    """What became of one job.
+    """Result of one job.
 
     Attributes:
         job: the request.
-        attempts: what each attempt gave, in order; empty if none was made.
-        seconds: time from its arrival to its end.
+        attempts: outcomes of the attempts in order; empty if none was made.
+        seconds: time from the job's arrival to its end.
     """
 
     job: demo_loads.Job
@@ -35,30 +35,30 @@
 
     @property
     def answered(self) -> bool:
-        """Whether an answer came to its proper end."""
+        """Whether a complete answer was received."""
         return bool(self.attempts) and self.attempts[-1].whole
 
     @property
     def correct(self) -> bool:
-        """Whether the answer is the one of this job, byte for byte."""
+        """Whether the answer equals the expected one byte for byte."""
         return self.answered and self.attempts[-1].text == self.job.expected
 
     @property
     def lost(self) -> bool:
-        """Whether it has no answer, whole or refused."""
+        """Whether the caller got neither a complete answer nor a refusal."""
         return not self.answered and not any(
             a.ran is not None for a in self.attempts
         )
 
     @property
     def possible_runs(self) -> int:
-        """How often it may have run, by what its caller was told."""
+        """How often the job may have run, according to its outcomes."""
         return sum(a.ran != caller.NOT_RUN for a in self.attempts)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OutOfService:
-    """When a data centre was out of service, wall clock seconds."""
+    """Period in which a data centre was out, in wall clock seconds."""
 
     left: float
     returned: float
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Figures:
-    """The figures of one run; lists by tier hold tier 0 first."""
+    """Figures of one run; lists by tier start with tier 0."""
 
     offered_by_tier: list[int]
     goodput_by_tier: list[int]
@@ -85,7 +85,7 @@
 
     @property
     def broken(self) -> list[str]:
-        """The promises that did not hold."""
+        """The guarantees that were violated."""
         promises = {
             "answers_wrong": self.answers_wrong,
             "doubled": self.doubled,
@@ -109,11 +109,11 @@
     """Return the figures of a run.
 
     Args:
-        records: the jobs.
-        folder: where the stand-ins' journals are.
-        out_of_service: when a data centre was out.
-        out_endpoints: names of the endpoints in it.
-        seconds: how long the run took.
+        records: results of the jobs.
+        folder: holds the stand-ins' journals.
+        out_of_service: period in which a data centre was out.
+        out_endpoints: names of the endpoints in that data centre.
+        seconds: duration of the run.
     """
     lines = [
         line
@@ -159,7 +159,7 @@
 
 
 def _count_last_results(records: list[Record]) -> dict[str, int]:
-    """Return how the last attempts ended, by code or else by status."""
+    """Count the last attempts by refusal code, or else by HTTP status."""
     ends = [r.attempts[-1] if r.attempts else None for r in records]
     counted = collections.Counter(
         "none" if end is None else str(end.code or f"status {end.status}")
@@ -179,9 +179,10 @@
 
 
 def _count_doubled(records: list[Record], lines: list[dict[str, Any]]) -> int:
-    # A run is counted where it arrives, by the stand-ins alone: by the
-    # request's id, and by the job against what its caller was told. A job
-    # that ran after "not run" counts as well.
+    # Runs are counted from the endpoints' journals alone, in two ways:
+    # more than one arrival of a request id, and more arrivals of a job
+    # than its outcomes allow. Thus a job that ran although its caller was
+    # told "not run" counts too.
     received = [x for x in lines if x["kind"] == "received"]
     by_id = collections.Counter(x["request"] for x in received)
     by_mark = collections.Counter(_read_job_fingerprint(x) for x in received)
@@ -212,11 +213,11 @@
 def _count_prefill(
     records: list[Record], lines: list[dict[str, Any]]
 ) -> tuple[int, int]:
-    """Return prompt tokens prefilled in vain, and all that were prefilled.
+    """Return the wasted and the total number of prefilled prompt tokens.
 
-    In vain is the prefill of an answer that no caller got, and the prefill
-    of leading blocks that some engine had prefilled before (whether or not
-    it still holds them).
+    Prefill is wasted if no caller received the answer, or if some engine
+    had prefilled the same leading blocks before, whether or not its cache
+    still holds them.
     """
     jobs = {
         _make_job_fingerprint(r.job): r
--- a/standins/demo_loads.py
+++ b/standins/demo_loads.py
@@ -1,4 +1,4 @@
-"""The two users' workloads and the fleet that the demo runs them on."""
+"""Workloads of the demo's two users and the fleet that serves them."""
 
 import collections.abc
 import dataclasses
@@ -13,8 +13,8 @@
 LEAVING_DATA_CENTRE = "dc-3"
 CHAT_PATH = "/v1/chat/completions"
 
-# Two generations of hardware, three sizes of batch and cache, and models
-# that some engines hold and others do not.
+# Two generations of hardware, three sizes of batch and cache, and models that
+# only some of the engines serve.
 ENGINES: tuple[dict[str, Any], ...] = (
     {"name": "small-1", "models": ("small",), "batch": 8},
     {
@@ -98,18 +98,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkKind:
-    """One kind of work.
+    """A class of requests with common parameters.
 
     Attributes:
-        name: what it is.
-        user: whose workspaces send it.
-        tier: the class of its catalogue entry.
-        model: model name, or service name.
-        shared: characters of the prompt that a workspace's requests share.
-        own: further characters of the prompt.
-        output: answer tokens; 0 for a plain service.
+        name: description.
+        user: user whose workspaces send the requests.
+        tier: tier of the catalogue entry.
+        model: name of the model or the service.
+        shared_prompt_chars: length of the prompt prefix that several requests
+            of a workspace have in common.
+        own_prompt_chars: length of the rest of the prompt.
+        output_tokens: length of the answer; 0 for a plain service.
         deadline: seconds.
-        rate: requests a second over all workspaces, without overload.
+        rate: requests per second of all workspaces at normal load.
     """
 
     name: str
@@ -206,7 +207,8 @@
     ),
 )
 
-# Share of its user's requests that each workspace sends: two are large.
+# Share of its user's requests that each workspace sends. Each user has one
+# workspace that sends most of them.
 WORKSPACES = {
     "siam": {"extruder-1": 0.7, "extruder-2": 0.2, "extruder-3": 0.1},
     "papadakis": {"thessaly": 0.75, "crete": 0.25},
@@ -218,12 +220,12 @@
     """One request of the demo.
 
     Attributes:
-        number: unique; it is part of the body, so that a journal line can
-            be traced back to the job.
-        kind: what it is.
-        workspace: who sends it.
-        body: what is sent.
-        expected: the one right answer.
+        number: unique; part of the body, so that a journal line can be
+            matched with its job.
+        kind: class of the request.
+        workspace: name of the sending workspace.
+        body: request body.
+        expected: the only correct answer.
     """
 
     number: int
@@ -234,29 +236,29 @@
 
     @property
     def key(self) -> str:
-        """The workspace key of its catalogue entry."""
+        """The workspace key of the job's catalogue entry."""
         return make_key(self.workspace, self.kind.tier)
 
     @property
     def is_service(self) -> bool:
-        """Whether it goes to a plain service and may run only once."""
+        """Whether the job calls a plain service and may run only once."""
         return not self.kind.output_tokens
 
     @property
     def path(self) -> str:
-        """Where it is sent."""
+        """Path of the URL that the job is sent to."""
         if self.is_service:
             return f"/services/{self.kind.model}/submit"
         return CHAT_PATH
 
 
 def make_key(workspace: str, tier: int) -> str:
-    """Return the plain key of a catalogue entry."""
+    """Return the unhashed key of a catalogue entry."""
     return f"key-{workspace}-{tier}"
 
 
 def make_layout(subnet: str) -> fleet.Layout:
-    """Return the demo's fleet: 7 entries over four data centres."""
+    """Return the demo's fleet: 7 instances in four data centres."""
     entries = tuple(
         {
             "name": f"{workspace}-{tier}",
@@ -279,15 +281,15 @@
 
 
 def make_job(kind: WorkKind, number: int, rng: random.Random) -> Job:
-    """Return a request of a kind from a workspace drawn by its share."""
+    """Return a request from a workspace that is drawn by its share."""
     shares = WORKSPACES[kind.user]
     workspace = rng.choices(list(shares), list(shares.values()))[0]
     if not kind.output_tokens:
         body = {"workspace": workspace, "number": number}
         expected = answers.make_receipt(caller.encode_body(body))
     else:
-        # A die history or a season of receipts is asked about again and
-        # again: a workspace has three, each a prefix of many prompts.
+        # Each workspace asks repeatedly about three documents. Each is the
+        # shared prefix of many prompts, which exercises prefix caches.
         subject = f"{workspace} {kind.name} {rng.randrange(3)}"
         prompt = _repeat_text(subject, kind.shared_prompt_chars)
         prompt += _repeat_text(f"job {number}", kind.own_prompt_chars)
@@ -305,7 +307,7 @@
 def make_arrivals(
     seconds: float, factor: float, rng: random.Random
 ) -> collections.abc.Iterator[tuple[float, WorkKind]]:
-    """Yield arrivals in order: seconds from the start, and the kind."""
+    """Yield Poisson arrivals: seconds from the start and the kind of work."""
     rates = [kind.rate * factor for kind in WORK_KINDS]
     now = rng.expovariate(sum(rates))
     while now < seconds:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: batch, prefix cache, cold start."""
+"""Stand-in for a model engine with a batch, a prefix cache and cold starts."""
 
 import collections
 import collections.abc
@@ -20,16 +20,16 @@
 from standins import listener
 
 PROMPT_TAG_CHARS = 24
-"""The end of a prompt, by which a request is told from others."""
+"""Length of the end of a prompt, which identifies a request in the journal."""
 
 
 class FellOverError(Exception):
-    """The engine fell over in cold start and drops what it held."""
+    """The engine was overloaded in cold start, restarted, lost its work."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Shape:
-    """What kind of engine it is; units as in the catalogue."""
+    """Parameters of an engine; units as in the catalogue."""
 
     name: str
     batch: int = 8
@@ -46,10 +46,10 @@
 
 
 class Engine:
-    """Admits requests as they come and falls over when overfed cold.
+    """Serves every request on arrival; restarts if overloaded in cold start.
 
-    Each request runs in a task of its own, which a broken connection does
-    not end at once: its stream can be taken up again from an offset.
+    Each request runs in its own task, which outlives a broken connection
+    for ``keep_seconds``, so that the stream can be resumed at an offset.
     """
 
     def __init__(self, shape: Shape, request_journal: journal.Journal) -> None:
@@ -72,7 +72,7 @@
         self.restart_cold()
 
     def restart_cold(self) -> None:
-        """Start over: empty cache, cold."""
+        """Simulate a restart: drop requests, empty the cache, turn cold."""
         self._generation += 1
         self._started_at = time.monotonic()
         self._finished_since_start = 0
@@ -82,7 +82,7 @@
 
     @property
     def cold(self) -> bool:
-        """Whether it is in cold start."""
+        """Whether the engine is in cold start."""
         young = time.monotonic() - self._started_at < self.shape.cold_seconds
         return young or self._finished_since_start < self.shape.cold_requests
 
@@ -276,7 +276,7 @@
 
 
 def make_prompt(body: dict[str, Any]) -> str:
-    """Return the text that the answer depends on."""
+    """Return the messages as the single text that determines the answer."""
     return "\n".join(
         f"{message['role']}\n{message['content']}"
         for message in body["messages"]
--- a/standins/engine_cache.py
+++ b/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""A prefix cache of limited size that publishes its changes."""
+"""Prefix cache of limited size that publishes its changes as events."""
 
 import collections
 import time
@@ -9,11 +9,12 @@
 
 
 class Cache:
-    """Holds block hashes, least recently used last out.
+    """Holds block hashes and evicts the least recently used ones.
 
     Args:
-        tokens: its size.
-        gap_every: each so many-th event is lost; 0 loses none.
+        tokens: capacity.
+        gap_every: every n-th event is dropped to simulate a gap; 0 drops
+            none.
     """
 
     def __init__(self, tokens: int, gap_every: int) -> None:
@@ -28,12 +29,12 @@
         )
 
     def clear(self) -> None:
-        """Lose all; the event for it is lost too."""
+        """Drop all blocks without an event, so that the numbers show a gap."""
         self._blocks.clear()
         self._number += 1
 
     def count_cached_tokens(self, blocks: tuple[int, ...]) -> int:
-        """Return the tokens of the leading blocks that are held."""
+        """Return the tokens of the leading blocks that are in the cache."""
         known = 0
         for block in blocks:
             if block not in self._blocks:
@@ -42,7 +43,7 @@
         return known * BLOCK_TOKENS
 
     def add(self, blocks: tuple[int, ...]) -> None:
-        """Hold blocks, and drop what has no more room."""
+        """Add blocks, and evict others if the capacity is exceeded."""
         stored = [b for b in blocks if b not in self._blocks]
         for block in blocks:
             self._blocks[block] = None
@@ -54,7 +55,7 @@
             self._publish(stored, evicted)
 
     def get_events(self, after: int, until: float) -> list[dict[str, Any]]:
-        """Return events past a number, made before a monotonic time."""
+        """Return events after a number, published up to a monotonic time."""
         return [
             event
             for made, event in self._events
--- a/standins/engine_stream.py
+++ b/standins/engine_stream.py
@@ -1,4 +1,4 @@
-"""A stream that outlives the connection it is read from."""
+"""Answer stream that outlives the connection it is read from."""
 
 import collections.abc
 import time
@@ -10,11 +10,11 @@
 
 
 class CutError(Exception):
-    """The connection ends without the end of the answer."""
+    """The connection is closed before the end of the answer."""
 
 
 class Stream:
-    """The bytes of one answer as they grow, and the task that makes them."""
+    """Buffer of an answer's bytes and the task that produces them."""
 
     def __init__(self, request_id: str) -> None:
         self.request_id = request_id
@@ -28,7 +28,7 @@
 
     @property
     def size(self) -> int:
-        """Bytes so far."""
+        """Number of bytes produced so far."""
         return len(self._data)
 
     def run(self, work: collections.abc.Callable, *details: object) -> None:
@@ -37,30 +37,30 @@
         self._task.link(lambda _: self._changed.set())
 
     def add(self, data: bytes) -> None:
-        """Add bytes."""
+        """Append bytes and wake the readers."""
         self._data += data
         self._changed.set()
 
     def finish(self) -> None:
-        """Mark the stream as whole."""
+        """Mark the answer as complete."""
         self._finished = True
         self._changed.set()
 
     def cancel(self) -> None:
-        """Stop the task; return when it has stopped."""
+        """Kill the task and wait until it has ended."""
         if self._task is not None:
             self._task.kill()
 
     def disconnect_readers(self) -> None:
-        """End the connections that read it, but not the work."""
+        """Cut all connections that read the stream; the task goes on."""
         self._disconnects += 1
         self._changed.set()
 
     def read_whole(self) -> bytes:
-        """Wait for the end and return all.
+        """Wait for the end of the answer and return all of it.
 
         Raises:
-            CutError: the task stopped before the end.
+            CutError: the task ended before the answer was complete.
         """
         if self._task is not None:
             self._task.join()
@@ -71,11 +71,15 @@
     def read(
         self, offset: int, keep_seconds: float
     ) -> collections.abc.Iterator[bytes]:
-        """Yield what comes from an offset on.
+        """Yield the bytes from an offset on, as they are produced.
 
         Args:
-            offset: bytes to leave out.
-            keep_seconds: how long the work goes on without a reader.
+            offset: number of bytes to skip.
+            keep_seconds: how long the task goes on without a reader.
+
+        Raises:
+            CutError: the readers were disconnected, or the task ended
+                before the answer was complete.
         """
         cuts = self._disconnects
         self._readers += 1
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Lays out a fleet on loopback addresses and starts its processes."""
+"""Defines a fleet on loopback addresses and starts its processes."""
 
 import dataclasses
 import signal
@@ -23,18 +23,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Layout:
-    """What stands where.
+    """Description of a fleet.
 
     Attributes:
-        subnet: second and third number of all addresses, as "31.7"; each
-            fleet that runs at the same time has its own.
+        subnet: second and third octet of all addresses, as "31.7"; fleets
+            that run at the same time need different ones.
         data_centres: names.
-        instances: number of entry instances.
+        instances: number of instances.
         engines: shapes (fields of ``engine.Shape``), with "models".
         services: service names.
-        entries: catalogue entries; "key" is the plain key.
+        entries: catalogue entries; "key" is the unhashed key.
         traced: whether the instances write their spans to files.
-        trace_events: whether entries write their event traces.
+        trace_events: whether the instances write their event traces.
     """
 
     subnet: str
@@ -48,7 +48,7 @@
 
 
 class Fleet:
-    """The processes of a layout and the values that the platform holds."""
+    """The processes of a layout and the values that the platform publishes."""
 
     def __init__(self, layout: Layout, running: processes.Processes) -> None:
         self.layout = layout
@@ -73,7 +73,7 @@
         ]
 
     def start(self) -> None:
-        """Start everything and wait until it listens."""
+        """Start all processes and wait until they listen."""
         self.start_platform()
         for number in range(len(self.endpoints)):
             self.start_endpoint(number)
@@ -85,7 +85,7 @@
             processes.wait_for_port(instance["address"], CALLER_PORT)
 
     def start_platform(self) -> None:
-        """Start the platform's stand-in and publish both values."""
+        """Start the stand-in platform; publish catalogue and instance list."""
         self.running.start(
             "platform",
             "standins",
@@ -99,7 +99,7 @@
         self.publish_instances()
 
     def start_endpoint(self, number: int) -> None:
-        """Start one engine or service."""
+        """Start a stand-in engine or service by its index."""
         endpoint = self.endpoints[number]
         record = self.folder / f"{endpoint['name']}.jsonl"
         common = (
@@ -124,7 +124,7 @@
         )
 
     def start_instance(self, name: str) -> None:
-        """Start one entry instance."""
+        """Write an instance's settings file and start the instance."""
         instance = next(i for i in self.instances if i["name"] == name)
         path = self.folder / f"{name}.yaml"
         listeners = {
@@ -158,7 +158,7 @@
         self.running.start(name, "citronport", "serve", settings_file)
 
     def get_published_address(self, address: str) -> str:
-        """Return the address under which others reach an address."""
+        """Return the address to publish for a real address."""
         return address
 
     def publish_catalogue(self) -> None:
@@ -178,7 +178,7 @@
         self._put(PATH_CATALOGUE, text)
 
     def republish_previous_catalogue(self) -> None:
-        """Publish the catalogue before the last one, as a fault would."""
+        """Publish the last but one catalogue again, to simulate a fault."""
         version = len(self._catalogues) - 1
         _post(
             self.platform,
@@ -206,16 +206,16 @@
         self.publish_catalogue()
 
     def set_platform(self, mode: str) -> None:
-        """Take the platform down, make it stale, or bring it up."""
+        """Set the platform's mode: "down", "stale" or "up"."""
         _post(self.platform, PLATFORM_PORT, f"/admin/mode?mode={mode}", "")
 
     def post_to_engine(self, name: str, path: str) -> None:
-        """Give an engine's stand-in an order, past all links."""
+        """Send an admin request to an engine at its real address."""
         found = next(e for e in self.endpoints if e["name"] == name)
         _post(found["address"], ENDPOINT_PORT, path, "")
 
     def stop_instances(self, seconds: float = 30.0) -> list[int | None]:
-        """Order a graceful shutdown; return the exit codes."""
+        """Stop all running instances gracefully; return their exit codes."""
         names = [i["name"] for i in self.instances]
         live = [n for n in names if self.running.is_running(n)]
         for name in live:
@@ -223,7 +223,7 @@
         return [self.running.wait(name, seconds) for name in live]
 
     def get_callers_addresses(self) -> list[str]:
-        """Return where callers may connect."""
+        """Return the "ip:port" of each instance for callers."""
         return [
             f"{self.get_published_address(i['address'])}:{CALLER_PORT}"
             for i in self.instances
--- a/standins/instance.py
+++ b/standins/instance.py
@@ -1,8 +1,8 @@
-"""An entry instance whose connections leave from its own IP number.
+"""Instance whose outgoing connections are bound to its own IP address.
 
-On loopback the kernel gives every connection the same source. The proxy
-tells links apart by their source, as a network would. Nothing else of the
-instance differs from ``python -m citronport serve``.
+On loopback the kernel gives every connection the same source address, but
+the fault proxy identifies a connection's source by its address, as a network
+would. Otherwise the instance equals ``python -m citronport serve``.
 """
 
 import pathlib
@@ -15,7 +15,11 @@
 from citronport import __main__ as command_line
 
 IP_BIND_ADDRESS_NO_PORT = 24
-"""Linux: the port is chosen on connect, so that ports don't run out."""
+"""Linux socket option: choose the source port on connect, not on bind.
+
+Otherwise each bound socket would take a port of its own, and the ports would
+run out.
+"""
 
 
 def serve(settings_file: str) -> None:
--- a/standins/journal.py
+++ b/standins/journal.py
@@ -1,4 +1,4 @@
-"""Records what a stand-in got, one JSON line each."""
+"""Journals of the stand-ins' events, one JSON object a line."""
 
 import json
 import pathlib
@@ -7,11 +7,11 @@
 
 
 class Journal:
-    """Appends lines to a file; each line is whole at once.
+    """Appends lines to a file and flushes after each line.
 
     Args:
-        path: the file, or None to keep nothing.
-        name: goes into each line.
+        path: the file, or None to write nothing.
+        name: name of the stand-in; written into each line as "by".
     """
 
     def __init__(self, path: str | None, name: str) -> None:
@@ -21,7 +21,7 @@
         self._name = name
 
     def add(self, kind: str, **fields: Any) -> None:
-        """Append a line."""
+        """Append a line of a kind with further fields."""
         if self._file is None:
             return
         line = {"time": time.time(), "by": self._name, "kind": kind, **fields}
@@ -29,7 +29,7 @@
 
 
 def read_lines(path: pathlib.Path) -> list[dict[str, Any]]:
-    """Return the lines of a journal; a line cut by a kill is left out."""
+    """Return the lines of a journal; skip lines that a kill cut short."""
     if not path.exists():
         return []
     lines = []
--- a/standins/listener.py
+++ b/standins/listener.py
@@ -1,4 +1,4 @@
-"""Serves a stand-in over HTTP."""
+"""HTTP server of the stand-ins."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def serve(address: str, port: int, application: Any) -> None:
-    """Serve until killed, without delay of small writes."""
+    """Serve until killed; small writes are sent at once (TCP_NODELAY)."""
     server = pywsgi.WSGIServer(
         (address, port), application, log=None, error_log=None
     )
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: publishes values that can be watched."""
+"""Stand-in for the platform: publishes values that clients can watch."""
 
 import json
 import time
@@ -19,9 +19,10 @@
 class Platform:
     """Serves the catalogue and the instance list.
 
-    ``/admin/put?path=P`` publishes a value, ``/admin/mode?mode=M`` takes
-    the service down, makes it serve what it held when it became stale, or
-    brings it back. Every other call counts as a read.
+    ``/admin/put?path=P&version=N`` publishes the body as a value.
+    ``/admin/mode?mode=M`` sets the mode: "down" answers 503, "stale"
+    serves the values of the moment when the mode was set, "up" serves the
+    current ones. Every other request counts as a read.
     """
 
     def __init__(self, request_journal: journal.Journal) -> None:
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts, signals and ends the processes of a test fleet."""
+"""Starts, signals and kills the processes of a test fleet."""
 
 import pathlib
 import signal
@@ -11,10 +11,10 @@
 
 
 class Processes:
-    """The processes of one run, by name; ends them all on exit.
+    """The processes of one run by name; kills them all on exit.
 
     Args:
-        folder: where their output goes.
+        folder: for the log files with the output of the processes.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -26,7 +26,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End every process that was started here, by its id."""
+        """Kill every process that was started here, by its id."""
         for process in self._running.values():
             process.kill()
         for process in self._running.values():
@@ -47,14 +47,14 @@
         self._running[name].send_signal(number)
 
     def wait(self, name: str, seconds: float) -> int | None:
-        """Wait for a process to end; return its exit code, None if not."""
+        """Wait for a process to end; return its exit code, None on timeout."""
         try:
             return self._running[name].wait(seconds)
         except subprocess.TimeoutExpired:
             return None
 
     def get_pid(self, name: str) -> int:
-        """Return the id of a process."""
+        """Return a process id."""
         return self._running[name].pid
 
     def is_running(self, name: str) -> bool:
@@ -63,10 +63,10 @@
 
 
 def wait_for_port(address: str, port: int, seconds: float = 20.0) -> None:
-    """Wait until something listens.
+    """Wait until a port accepts connections.
 
     Raises:
-        TimeoutError: nothing did in time.
+        TimeoutError: no connection was accepted in time.
     """
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -75,4 +75,4 @@
             return
         except OSError:
             time.sleep(0.05)
-    raise TimeoutError(f"nothing listens at {address}:{port}")
+    raise TimeoutError(f"{address}:{port} not listening after {seconds} s")
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,8 +1,8 @@
-"""Fault-injecting TCP proxy: cut, delay, hold, drip and reorder links.
+"""TCP proxy that injects faults: cut, delay, hold, drip and reorder.
 
-Each listener stands for one target; a connection's source is told by its
-IP number. A rule on a (source, target) pair is looked at again for every
-piece of data, so that a change takes hold of open connections as well.
+Each listener represents one target; a connection's source is identified by
+its IP address. The fault of a (source, target) pair is evaluated for every
+chunk of data, so that changes apply to open connections too.
 """
 
 import collections.abc
@@ -29,40 +29,40 @@
 
 
 class How(enum.StrEnum):
-    """What a fault does to a link."""
+    """Kind of a fault."""
 
     RESET = "reset"
-    """Connections end by a reset, new ones at once."""
+    """Open connections are reset, new ones as soon as they are accepted."""
     CLOSE = "close"
-    """As reset, but by a clean end."""
+    """Like RESET, but connections are closed without a reset."""
     HOLD = "hold"
-    """A black hole: nothing passes and nothing ends, until healed."""
+    """Black hole: no data passes and no connection ends until healed."""
     HOLD_ANSWERS = "hold_answers"
-    """Half a black hole: only what goes to the source is held."""
+    """Like HOLD, but only for data from the target to the source."""
     LOSE_ANSWERS = "lose_answers"
-    """The request passes; a reset takes the place of the answer. Load
-    reports are spared."""
+    """The request passes, but the connection is reset instead of passing the
+    answer. Load reports are not affected."""
     CUT_ANSWERS = "cut_answers"
-    """A clean end after so many bytes of answer."""
+    """Connections are closed after ``size`` bytes of the answer."""
     HALF_OPEN = "half_open"
-    """The target sees a reset, the source sees nothing."""
+    """The target's side is reset, the source's side stays open."""
     DELAY = "delay"
-    """Each piece waits."""
+    """Each chunk is delayed."""
     DRIP = "drip"
-    """A few bytes at a time."""
+    """Data is passed on a few bytes at a time."""
     REORDER = "reorder"
-    """New connections wait for an uneven time, so that they overtake."""
+    """New connections are delayed at random, so that they get reordered."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """A fault of a link.
+    """A fault on the connections from a source to a target.
 
     Attributes:
-        how: its kind.
-        seconds: wait of delay, drip and (at most) reorder.
-        size: bytes of drip, or bytes that pass before an answer is cut.
-        share: share of the connections that it strikes.
+        how: kind of fault.
+        seconds: delay of DELAY and DRIP; maximum delay of REORDER.
+        size: chunk size of DRIP; bytes that CUT_ANSWERS lets pass.
+        share: fraction of the connections that are affected.
     """
 
     how: How
@@ -72,10 +72,10 @@
 
 
 class Proxy:
-    """Listens for all targets and passes data on as the rules say.
+    """Listens in place of all targets and forwards data subject to faults.
 
     Args:
-        seed: decides which connections a partial fault strikes.
+        seed: of the random choice of connections that a fault affects.
     """
 
     def __init__(self, seed: int) -> None:
@@ -88,7 +88,7 @@
         self._connections: set[_Connection] = set()
 
     def register_source(self, address: str, name: str) -> None:
-        """Tell which node's connections come from an IP number."""
+        """Set the node name of connections from an IP address."""
         self._sources[address] = name
 
     def listen(
@@ -98,15 +98,15 @@
         real_address: _Address,
         no_listener_reply: bytes = b"",
     ) -> None:
-        """Stand for a target's address.
+        """Listen in place of a target.
 
         Args:
-            address: where to listen.
+            address: address of the proxy.
             target: name of the node.
-            real_address: where the node listens.
-            no_listener_reply: sent when the node does not listen. The
-                kernel has taken the connection by then and can refuse it
-                no more.
+            real_address: address that the node itself listens at.
+            no_listener_reply: sent to the source if the node does not
+                listen, since the kernel has accepted the connection to
+                the proxy by then and it can't be refused any more.
         """
 
         def accept(sock: socket.socket, peer: _Address) -> None:
@@ -120,13 +120,13 @@
         self.start_listening(target)
 
     def stop_listening(self, target: str) -> None:
-        """Refuse connections, as the address of a dead process does."""
+        """Refuse connections, as if the target's process were dead."""
         for address, _ in self._listeners.get(target, ()):
             if address in self._servers:
                 self._servers.pop(address).stop(timeout=0)
 
     def start_listening(self, target: str) -> None:
-        """Listen for a target."""
+        """Listen again in place of a target."""
         for address, accept in self._listeners.get(target, ()):
             if address not in self._servers:
                 server = gevent_server.StreamServer(address, accept)
@@ -134,7 +134,7 @@
                 self._servers[address] = server
 
     def inject_fault(self, source: str, target: str, fault: Fault) -> None:
-        """Put a fault on the connections from a source to a target."""
+        """Set the fault of a link and apply it to open connections."""
         self._faults[source, target] = fault
         for connection in list(self._connections):
             same = (connection.source, connection.target) == (source, target)
@@ -143,7 +143,7 @@
         self._notify_changed()
 
     def heal(self, chosen: collections.abc.Callable[[str, str], bool]) -> None:
-        """Take the faults off the chosen (source, target) pairs."""
+        """Remove the faults of the chosen (source, target) pairs."""
         for pair in [p for p in self._faults if chosen(*p)]:
             del self._faults[pair]
         for connection in list(self._connections):
@@ -152,7 +152,7 @@
         self._notify_changed()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and reset all connections."""
         for target in self._listeners:
             self.stop_listening(target)
         for connection in list(self._connections):
@@ -207,8 +207,8 @@
                 if not data:
                     return
         except (OSError, AttributeError):
-            # A reset of one side reaches the other one, but for the pair
-            # whose halves were parted on purpose.
+            # A reset on one side is passed on to the other side, unless a
+            # HALF_OPEN fault separates the two.
             if not connection.is_half_open:
                 self._wait_while_held(connection, to_target)
                 connection.reset()
@@ -260,24 +260,29 @@
         self._answer_bytes = 0
 
     def get_socket(self, downstream: bool) -> socket.socket:
-        """Return the side that data comes from."""
+        """Return the source's socket (downstream) or the target's."""
         end = self.downstream if downstream else self.upstream
         if end is None:
             raise OSError("not connected")
         return end
 
     def is_held(self, to_target: bool) -> bool:
-        """Return whether data of a direction must wait."""
+        """Return whether a fault holds data of a direction back."""
         if self.is_half_open:
             return True
         how = self.fault.how if self.fault else None
         return how == How.HOLD or (how == How.HOLD_ANSWERS and not to_target)
 
     def cut_answer(self, data: bytes, end: socket.socket) -> bool:
-        """End the connection if its answer is to be cut in this piece."""
+        """End the connection if the answer is to be cut in this chunk.
+
+        Returns:
+            Whether the connection was ended.
+        """
         how = self.fault.how if self.fault else None
-        # A report that is lost ends the endpoint's service: whether a call
-        # got as far as its answer would hang on which came first.
+        # Load reports are passed, because an endpoint whose report is lost
+        # is taken out of service. Whether a request then got to the point
+        # of an answer would depend on the order of the two.
         if how == How.LOSE_ANSWERS and not self.is_report:
             self.reset()
             return True
@@ -289,7 +294,7 @@
         return True
 
     def apply_fault(self, fault: Fault) -> None:
-        """Let a fault strike while the connection is open."""
+        """Apply a fault to the open connection."""
         self.fault = fault
         match fault.how:
             case How.RESET:
@@ -301,14 +306,14 @@
                 _reset(self.upstream)
 
     def clear_fault(self) -> None:
-        """Let data pass again; a parted pair is dead and says so."""
+        """Remove the fault; reset the connection if it was half open."""
         self.fault = None
         if self.is_half_open:
             self.is_half_open = False
             self.reset()
 
     def reply_no_listener(self) -> None:
-        """Tell the source that nobody listens."""
+        """Tell the source that the target does not listen, then close."""
         if not self.no_listener_reply:
             self.reset()
             return
@@ -316,19 +321,19 @@
             self.downstream.settimeout(REPLY_TIMEOUT_SECONDS)
             self.downstream.sendall(self.no_listener_reply)
             self.downstream.shutdown(socket.SHUT_WR)
-            # Closed with the request unread, the socket would answer with
-            # a reset that overtakes what was sent.
+            # If the socket were closed with the request unread, the kernel
+            # would send a reset, which may overtake the reply.
             while self.downstream.recv(READ_BYTES):
                 pass
         self.close()
 
     def reset(self) -> None:
-        """End both sides by a reset."""
+        """Reset the connections to the source and to the target."""
         _reset(self.downstream)
         _reset(self.upstream)
 
     def close(self) -> None:
-        """End both sides."""
+        """Close the connections to the source and to the target."""
         for end in (self.downstream, self.upstream):
             if end is None:
                 continue
--- a/standins/scenario_fleet.py
+++ b/standins/scenario_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose every link runs through the fault proxy."""
+"""Fleet whose connections all pass through the fault proxy."""
 
 from citronport.scheduler import ownership
 from standins import caller
@@ -8,21 +8,21 @@
 from standins import scenario_models
 
 PROXY_OFFSET = 5
-"""Added to the second number of an address: where the proxy stands for it."""
+"""Added to the second octet of a real address to get the proxy's address."""
 
 NO_LISTENER_REPLY = (
     f"HTTP/1.1 {caller.STATUS_NO_LISTENER} Nobody listens\r\n"
     "Content-Length: 2\r\nConnection: close\r\n\r\n{}"
 ).encode()
-"""What the proxy says in place of a refused connection."""
+"""Reply of the proxy in place of a refused connection."""
 
 
 class ProxiedFleet(fleet.Fleet):
     """Publishes the proxy's addresses in place of the real ones.
 
     Args:
-        layout: what stands where.
-        running: its processes.
+        layout: description of the fleet.
+        running: starts the processes.
         links: the proxy.
     """
 
@@ -51,12 +51,12 @@
         self.running.start(name, "standins", "instance", settings_file)
 
     def publish_address(self, address: str) -> str:
-        """Return the proxy's address for an address."""
+        """Return the proxy's address for a real address."""
         first, second, *rest = address.split(".")
         return ".".join([first, str(int(second) + PROXY_OFFSET), *rest])
 
     def expand_names(self, words: tuple[str, ...]) -> list[str]:
-        """Return the node names that names and group names stand for."""
+        """Return node names; expand group names and resolve roles."""
         groups = {
             "entries": [i["name"] for i in self.instances],
             "endpoints": [e["name"] for e in self.endpoints],
@@ -68,10 +68,11 @@
         ]
 
     def resolve(self, name: str) -> str:
-        """Return the instance that "owner/ENDPOINT" or "other/ENDPOINT" is.
+        """Return the instance for "owner/ENDPOINT" or "other/ENDPOINT".
 
-        The first is the one that the published list gives the endpoint
-        to, the second one that it doesn't.
+        "owner" is the instance that owns the endpoint according to the
+        published instance list, "other" some instance that does not.
+        Other names are returned as they are.
         """
         role, _, endpoint = name.partition("/")
         if not endpoint:
@@ -92,16 +93,16 @@
         return next(n for n in reversed(members) if n != owner)
 
     def get_address(self, name: str) -> str:
-        """Return where callers reach an instance."""
+        """Return the "ip:port" at which callers reach an instance."""
         address = self.publish_address(self.get_real_address(name))
         return f"{address}:{fleet.CALLER_PORT}"
 
     def get_real_address(self, name: str) -> str:
-        """Return where an instance listens, past the proxy."""
+        """Return the address that an instance itself listens at."""
         return next(i for i in self.instances if i["name"] == name)["address"]
 
     def edit(self, edit: scenario_models.Edit) -> None:
-        """Publish an operator's edit."""
+        """Apply an operator's edit and publish the result."""
         if edit.instance:
             _set_state(self.instances, edit.instance, edit.state)
             self.publish_instances()
--- a/standins/service.py
+++ b/standins/service.py
@@ -10,7 +10,7 @@
 
 
 class Service:
-    """Records each call and answers with a receipt of its body."""
+    """Records each call in the journal; answers with a hash of its body."""
 
     def __init__(
         self, request_journal: journal.Journal, seconds: float
