--- a/standins/demo.py
+++ b/standins/demo.py
@@ -71,7 +71,7 @@
     def run(self) -> demo_figures.Figures:
         """Run all phases and return the figures."""
         self._print_progress(
-            "starting 7 entries, the platform and the endpoints"
+            "starting 7 instances, the platform and the endpoints"
         )
         self._fleet.start()
         for phase in (WARM_UP, STEADY, OVERLOAD, AFTER):
@@ -88,7 +88,9 @@
         self._print_progress("stopping")
         codes = self._fleet.stop_instances(STOP_SECONDS)
         if any(codes):
-            self._print_progress(f"entries did not end cleanly: {codes}")
+            self._print_progress(
+                f"instances failed to stop cleanly, exit codes {codes}"
+            )
         absent = frozenset(
             e["name"]
             for e in self._fleet.endpoints
--- a/standins/demo_loads.py
+++ b/standins/demo_loads.py
@@ -207,8 +207,8 @@
     ),
 )
 
-# Share of its user's requests that each workspace sends. Each user has one
-# workspace that sends most of them.
+# Share of its user's requests that each workspace sends. Two workspaces, one
+# of each user, send most of them.
 WORKSPACES = {
     "siam": {"extruder-1": 0.7, "extruder-2": 0.2, "extruder-3": 0.1},
     "papadakis": {"thessaly": 0.75, "crete": 0.25},
@@ -288,8 +288,9 @@
         body = {"workspace": workspace, "number": number}
         expected = answers.make_receipt(caller.encode_body(body))
     else:
-        # Each workspace asks repeatedly about three documents. Each is the
-        # shared prefix of many prompts, which exercises prefix caches.
+        # Users ask repeatedly about the same document, such as a die
+        # history or a season of receipts. Each workspace has three of them,
+        # and each is the common prefix of many prompts.
         subject = f"{workspace} {kind.name} {rng.randrange(3)}"
         prompt = _repeat_text(subject, kind.shared_prompt_chars)
         prompt += _repeat_text(f"job {number}", kind.own_prompt_chars)
--- a/standins/scenario.py
+++ b/standins/scenario.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: processes, proxy, callers, checks."""
+"""Runs a scenario with real processes, the fault proxy and callers."""
 
 import collections.abc
 import pathlib
@@ -25,10 +25,10 @@
     """Runs the steps of one scenario.
 
     Args:
-        scenario: what to run.
-        seed: decides all that is left to chance.
-        subnet: second and third number of the fleet's addresses.
-        tell: takes each line of the trace.
+        scenario: the scenario to run.
+        seed: of the random choices of the fault proxy.
+        subnet: second and third octet of the fleet's addresses.
+        write_line: called with each line of the trace.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._cold_restarts: dict[str, list[float]] = {}
 
     def run(self) -> list[str]:
-        """Run all steps; return what went wrong, empty if nothing did."""
+        """Run all steps; return the problems, an empty list on success."""
         with (
             tempfile.TemporaryDirectory() as folder,
             processes.Processes(pathlib.Path(folder)) as running,
@@ -71,26 +71,26 @@
         return self.problems
 
     def write_trace(self, text: str) -> None:
-        """Add a line with the time since the start and the wall clock."""
+        """Write a line with the seconds since the start and the wall clock."""
         passed = time.monotonic() - self._started_at
         self._write_line(f"{passed:8.3f} {time.time():.3f} {text}")
 
     def add_problem(self, text: str) -> None:
-        """Note that a promise broke or an expectation failed."""
+        """Record a violated guarantee or a failed expectation."""
         self.write_trace(f"FAILED {text}")
         self.problems.append(text)
 
     def read_arrivals(self) -> list[checks.Arrival]:
-        """Return what the endpoints have received by now."""
+        """Return the requests that the endpoints have received so far."""
         return checks.read_arrivals(self.fleet.folder, self.endpoints)
 
     @property
     def endpoints(self) -> list[str]:
-        """The endpoints' names."""
+        """Names of all endpoints."""
         return [e["name"] for e in self.fleet.endpoints]
 
     def get_order_time(self, name: str) -> float:
-        """Return when a node was ordered out, wall clock time."""
+        """Return the wall clock time of the edit that took a name out."""
         return self._order_times[name]
 
     def _run_steps(self) -> None:
@@ -103,14 +103,15 @@
         self._settle()
 
     def _settle(self) -> None:
-        # Late wrong-doing shows only when all is awake and joined again.
+        # Late violations show only when all processes run and all links are
+        # healed.
         for name in [i["name"] for i in self.fleet.instances]:
             if self.running.is_running(name):
                 self.running.signal(name, signal.SIGCONT)
         self.fleet.links.heal(lambda source, target: True)
         for by in {record.by for record in self.callers.records}:
             if not self.callers.wait(by, 60.0):
-                self.add_problem(f"{by}: a caller never got its outcome")
+                self.add_problem(f"{by}: a request has no outcome after 60 s")
         gevent.sleep(self.scenario.settle)
         overloads = checks.read_cold_overloads(
             self.fleet.folder, self.endpoints
@@ -237,7 +238,9 @@
             return
         while not self._has_happened(wait):
             if time.monotonic() > end:
-                self.add_problem(f"never happened: {_describe_model(wait)}")
+                self.add_problem(
+                    f"not within {wait.seconds:g} s: {_describe_model(wait)}"
+                )
                 return
             gevent.sleep(POLL_SECONDS)
 
--- a/standins/scenario_callers.py
+++ b/standins/scenario_callers.py
@@ -1,4 +1,4 @@
-"""The named callers of a scenario and the records that they keep."""
+"""Callers of a scenario and the records of their requests."""
 
 import collections.abc
 import dataclasses
@@ -16,7 +16,7 @@
 from standins import scenario_models as models
 
 LOOKUP_TIMEOUT_SECONDS = 20.0
-"""How long a caller tries to find an entry that answers."""
+"""How long a caller retries its lookup if no instance answers."""
 
 PROBE_SECONDS = 0.1
 CODE_ACCEPTED = 0
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """One sending of a request and what came of it.
+    """One attempt to send a request.
 
     Attributes:
-        began: wall clock time at which it was sent.
-        ended: wall clock time at which its outcome was known.
-        outcome: what the caller got.
+        began: wall clock time at which the request was sent.
+        ended: wall clock time at which the outcome was known.
+        outcome: result of the attempt.
     """
 
     began: float
@@ -43,12 +43,12 @@
     """One request of a caller.
 
     Attributes:
-        by: its group.
-        tag: unique; endpoints' journals name it.
-        tier: class of its catalogue entry.
-        send: how it was sent.
-        expected: the whole answer.
-        attempts: in order.
+        by: group of the request.
+        tag: unique; identifies the request in the endpoints' journals.
+        tier: tier of the catalogue entry.
+        send: the step that the request belongs to.
+        expected: text of the complete answer.
+        attempts: in order of sending.
     """
 
     by: str
@@ -60,13 +60,13 @@
 
     @property
     def last(self) -> caller.Outcome:
-        """The outcome that the caller is left with."""
+        """The outcome of the last attempt."""
         return self.attempts[-1].outcome
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Probe:
-    """Whether an instance accepted an entry's key when it was asked."""
+    """Whether an instance accepted an entry's key at some time."""
 
     time: float
     instance: str
@@ -74,11 +74,12 @@
 
 
 class Callers:
-    """Sends the requests of a scenario and keeps all outcomes.
+    """Sends the requests of a scenario and records all outcomes.
 
     Args:
-        fleet: where to send.
-        tell: takes one line for each outcome that is no whole answer.
+        fleet: the fleet to send to.
+        write_trace: called with a line for each outcome other than a
+            complete answer.
     """
 
     def __init__(
@@ -94,7 +95,7 @@
         self._numbers = itertools.count(1)
 
     def send(self, send: models.Send) -> None:
-        """Start a group of requests."""
+        """Start sending a group of requests."""
         name = send.entry or self._fleet.layout.entries[0]["name"]
         entry = next(e for e in self._fleet.entries if e["name"] == name)
         tasks = self._tasks.setdefault(send.by, [])
@@ -114,17 +115,17 @@
             self.wait(send.by, send.deadline + LOOKUP_TIMEOUT_SECONDS)
 
     def wait(self, by: str, seconds: float) -> bool:
-        """Wait for all outcomes of a group; return whether they came."""
+        """Wait for all outcomes of a group; return whether all are there."""
         tasks = self._tasks.get(by, [])
         gevent.joinall(tasks, timeout=seconds)
         return all(task.ready() for task in tasks)
 
     def get_records(self, by: str) -> list[Record]:
-        """Return the requests of a group that have an outcome."""
+        """Return the requests of a group with at least one outcome."""
         return [r for r in self.records if r.by == by and r.attempts]
 
     def probe(self, entry: str) -> None:
-        """Ask each instance for an entry's key from now on."""
+        """Look up with an entry's key at each instance repeatedly."""
         self.probes[entry] = []
         self._tasks[f"probe {entry}"] = [
             gevent.spawn(self._probe, entry, instance["name"])
@@ -158,7 +159,7 @@
         return True
 
     def stop(self) -> None:
-        """End all callers."""
+        """Kill the tasks of all callers."""
         for tasks in self._tasks.values():
             gevent.killall(tasks, block=False)
 
@@ -241,7 +242,7 @@
             if send.at:
                 return [address, *others], found.ticket
             return list(found.addresses) or [address], found.ticket
-        raise AssertionError("a cycle has no end")
+        raise AssertionError("unreachable: the instances are cycled for ever")
 
 
 def _make_body(send: models.Send, tag: str) -> dict[str, Any]:
--- a/standins/scenario_checks.py
+++ b/standins/scenario_checks.py
@@ -1,4 +1,4 @@
-"""Checks over the stand-ins' journals and the callers' records only."""
+"""Checks of guarantees on the stand-ins' journals and the callers' records."""
 
 import collections
 import dataclasses
@@ -10,10 +10,11 @@
 from standins import scenario_callers as callers
 
 SHED_CODES = frozenset({2101, 2102, 2104})
-"""Refusals for want of capacity."""
+"""Codes of refusals because of a lack of capacity."""
 
 DETECTION_SECONDS = 1.3
-"""Lag of a report, the pause between two, and time to read one."""
+"""Time until a cold restart can be known: the lag of a load report, the
+interval between two reports and the time to read one."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -27,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Overload:
-    """An engine got more than its cold start bears."""
+    """An engine received more than its limits in cold start allow."""
 
     time: float
     endpoint: str
 
 
 def read_arrivals(folder: pathlib.Path, endpoints: list[str]) -> list[Arrival]:
-    """Return what all endpoints received, as they wrote it down."""
+    """Return what all endpoints received according to their journals."""
     found = []
     for endpoint in endpoints:
         for line in journal.read_lines(folder / f"{endpoint}.jsonl"):
@@ -60,7 +61,7 @@
     overloads: list[Overload],
     cold_restarts: dict[str, list[float]],
 ) -> list[str]:
-    """Return each breach of a promise that holds in every scenario."""
+    """Return the violations of guarantees that every scenario checks."""
     return [
         *check_received_once(arrivals),
         *check_not_run(records, arrivals),
@@ -82,7 +83,7 @@
 def check_not_run(
     records: list[callers.Record], arrivals: list[Arrival]
 ) -> list[str]:
-    """Return the requests that were called "not run" and were received."""
+    """Return the requests that were refused as "not run" but received."""
     times = {arrival.tag: arrival.time for arrival in arrivals}
     problems = []
     for record in records:
@@ -100,7 +101,7 @@
 
 
 def check_answers(records: list[callers.Record]) -> list[str]:
-    """Return the answers that differ from what was asked for."""
+    """Return the answers that differ from the expected ones."""
     problems = []
     for record in records:
         for attempt in record.attempts:
@@ -108,18 +109,18 @@
             if outcome.status != 200:
                 continue
             if outcome.whole and outcome.text != record.expected:
-                problems.append(f"{record.tag} got a wrong whole answer")
+                problems.append(f"{record.tag} got a wrong complete answer")
             if outcome.clean and not outcome.whole:
-                problems.append(f"{record.tag} was cut with a clean end")
+                problems.append(f"{record.tag} was cut but ended cleanly")
             if not record.expected.startswith(outcome.text):
-                problems.append(f"{record.tag} got a wrong part")
+                problems.append(f"{record.tag} got a wrong partial answer")
     return problems
 
 
 def read_cold_overloads(
     folder: pathlib.Path, endpoints: list[str]
 ) -> list[Overload]:
-    """Return when engines fell over in cold start, by their own count."""
+    """Return the overloads in cold start from the engines' journals."""
     return [
         Overload(time=line["time"], endpoint=endpoint)
         for endpoint in endpoints
@@ -131,18 +132,19 @@
 def check_cold_overloads(
     overloads: list[Overload], cold_restarts: dict[str, list[float]]
 ) -> list[str]:
-    """Return the cold starts that got more than they bear.
+    """Return the overloads in cold start that could have been avoided.
 
-    Nobody can know of a turn without warning before its first evidence:
-    a broken stream, or the next report, which lags. What was sent until
-    then is counted apart; see docs/PROOFS.md.
+    An instance can't know of a restart without warning before it sees a
+    broken stream or the next load report, which lags. Requests that are
+    sent until then are not a problem; see docs/PROOFS.md.
 
     Args:
-        overloads: what the engines counted.
-        cold_restarts: when the scenario turned an engine cold, by its name.
+        overloads: from the engines' journals.
+        cold_restarts: times at which the scenario restarted engines, by
+            name.
     """
     return [
-        f"{o.endpoint} fell over in cold start, at {o.time:.3f}"
+        f"{o.endpoint} was overloaded in cold start, at {o.time:.3f}"
         for o in overloads
         if not is_before_detection(o, cold_restarts)
     ]
@@ -151,7 +153,7 @@
 def is_before_detection(
     overload: Overload, cold_restarts: dict[str, list[float]]
 ) -> bool:
-    """Return whether an overload came before a turn could be known."""
+    """Return whether the restart could not be known at an overload."""
     return any(
         0 <= overload.time - time <= DETECTION_SECONDS
         for time in cold_restarts.get(overload.endpoint, ())
@@ -164,13 +166,16 @@
     ordered: float,
     within: float,
 ) -> tuple[float, list[str]]:
-    """Return the time of the last new work after an order, and breaches.
+    """Return when the last work arrived after an edit, and the problems.
 
     Args:
         arrivals: what all endpoints received.
-        endpoints: those that were to get nothing more.
-        ordered: wall clock time of the order.
-        within: seconds that are allowed.
+        endpoints: the endpoints that were taken out of service.
+        ordered: wall clock time of the edit.
+        within: seconds after the edit in which work may arrive.
+
+    Returns:
+        Seconds from the edit to the last arrival, and the problems.
     """
     late = [
         a.time - ordered
@@ -180,21 +185,21 @@
     last = max(late, default=0.0)
     problems = []
     if not any(a.endpoint in endpoints and a.time < ordered for a in arrivals):
-        problems.append("no work before the order, so that nothing is shown")
+        problems.append("no work before the edit: the check shows nothing")
     if last > within:
-        problems.append(f"new work {last:.2f} s after the order")
+        problems.append(f"new work {last:.2f} s after the edit")
     return last, problems
 
 
 def check_never_back(probes: list[callers.Probe]) -> list[str]:
-    """Return the instances that refused a key they had accepted."""
+    """Return the instances that refused a key after accepting it."""
     accepted: set[str] = set()
     problems = []
     for probe in probes:
         if probe.accepted:
             accepted.add(probe.instance)
         elif probe.instance in accepted:
-            problems.append(f"{probe.instance} went back")
+            problems.append(f"{probe.instance} refused a key it had accepted")
     return sorted(set(problems))
 
 
@@ -207,12 +212,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShedRequest:
-    """A request refused for want of capacity.
+    """A request that was refused because of a lack of capacity.
 
     Attributes:
-        tier: its tier.
-        code: the refusal's code.
-        waited: seconds since it arrived.
+        tier: tier of the request.
+        code: code of the refusal.
+        waited: seconds from arrival to refusal.
         served: lower requests, anywhere in the fleet, that endpoints
             served at that moment; the promise is that there are none.
         started: lower requests that were started while it waited.
@@ -228,7 +233,7 @@
 def read_shed_requests(
     folder: pathlib.Path, names: list[str], endpoints: list[str]
 ) -> list[ShedRequest]:
-    """Return what the fleet shed, from traces and endpoints' journals."""
+    """Return the shed requests from event traces and endpoints' journals."""
     tiers: dict[str, int] = {}
     arrived: dict[str, float] = {}
     shed: dict[str, float] = {}
@@ -274,7 +279,7 @@
 def _read_spans(
     folder: pathlib.Path, endpoints: list[str]
 ) -> dict[str, tuple[float, float]]:
-    """Return from when to when endpoints served each request."""
+    """Return when the service of each request began and ended."""
     began: dict[str, float] = {}
     spans: dict[str, tuple[float, float]] = {}
     for endpoint in endpoints:
--- a/standins/scenario_expect.py
+++ b/standins/scenario_expect.py
@@ -1,4 +1,4 @@
-"""Checks the expectations of a scenario's steps."""
+"""Checks the expect steps of a scenario."""
 
 import typing
 
@@ -10,7 +10,7 @@
 
 
 def check(runner: "scenario.Runner", expect: models.Expect) -> None:
-    """Check one expect step; failures are noted at the runner."""
+    """Check one expect step and add failures to the runner's problems."""
     if expect.of:
         _check_outcomes(runner, expect)
     if expect.received is not None or expect.received_at_most is not None:
@@ -21,7 +21,7 @@
         name = runner.fleet.resolve(expect.exit)
         code = runner.running.wait(name, expect.within)
         if code != 0:
-            runner.add_problem(f"{expect.exit} ended with {code}, not 0")
+            runner.add_problem(f"{expect.exit} exited with code {code}, not 0")
     if expect.never_back:
         for problem in checks.check_never_back(
             runner.callers.probes[expect.never_back]
@@ -38,15 +38,15 @@
     )
     passed = sum(shed.lower_started > 0 for shed in sheds)
     runner.write_trace(
-        f"  {len(sheds)} shed, {passed} of them after a lower one was "
-        "started while they waited"
+        f"  {len(sheds)} requests shed; during the wait of {passed} of them "
+        "a request of a lower tier was started"
     )
     for shed in sheds:
         if shed.lower_served:
             runner.add_problem(
                 f"tier {shed.tier} was shed with {shed.code}, "
                 f"{shed.waited:.2f} s after it arrived, while "
-                f"{shed.lower_served} of a lower tier were served"
+                f"{shed.lower_served} requests of lower tiers were served"
             )
 
 
@@ -71,7 +71,7 @@
         if wanted is not None and count != wanted:
             runner.add_problem(f"{expect.of}: {count} {name}, not {wanted}")
     if expect.whole_at_least is not None and whole < expect.whole_at_least:
-        runner.add_problem(f"{expect.of}: {whole} whole, too few")
+        runner.add_problem(f"{expect.of}: {whole} complete answers, too few")
     _check_codes(runner, expect)
 
 
@@ -85,7 +85,9 @@
         if attempt.outcome.code is not None
     }
     if given - set(expect.codes):
-        runner.add_problem(f"{expect.of}: codes {sorted(given)}")
+        runner.add_problem(
+            f"{expect.of}: unexpected codes among {sorted(given)}"
+        )
 
 
 def _check_received(runner: "scenario.Runner", expect: models.Expect) -> None:
@@ -114,6 +116,6 @@
         runner.get_order_time(named),
         expect.within,
     )
-    runner.write_trace(f"  last new work {last:.3f} s after the order")
+    runner.write_trace(f"  last new work {last:.3f} s after the edit")
     for problem in problems:
         runner.add_problem(problem)
--- a/standins/scenario_models.py
+++ b/standins/scenario_models.py
@@ -1,4 +1,4 @@
-"""The language of scenarios, validated: a layout and a list of steps."""
+"""Models of scenario files: a layout and a list of steps."""
 
 import pathlib
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class LayoutModel(_StrictModel):
-    """What stands where; see ``fleet.Layout``."""
+    """The fleet of a scenario; see ``fleet.Layout``."""
 
     data_centres: tuple[str, ...] = ("dc-1", "dc-2")
     instances: int = 3
@@ -24,25 +24,26 @@
 
 
 class Send(_StrictModel):
-    """A named caller sends requests.
+    """Send a group of requests.
 
     Attributes:
-        by: name of the group of requests; expectations refer to it.
-        entry: catalogue entry; its key is used.
-        to: model, or service with ``service`` set.
-        service: whether it is a call of a plain service.
+        by: name of the group, which other steps refer to.
+        entry: catalogue entry whose key is used; None takes the first.
+        to: name of the model, or of the service if ``service`` is set.
+        service: whether the requests call a plain service.
         method: HTTP method of a service call.
-        at: instance to connect to; None takes turns over the lookup.
-        count: how many.
-        every: seconds between two; 0 sends all at once.
+        at: instance to connect to; None rotates over the instances that
+            the lookup returned.
+        count: number of requests.
+        every: seconds between two requests; 0 sends all at once.
         tokens: length of the answer.
         prompt_chars: length of the prompt.
         stream: whether the answer is streamed.
-        keyed: whether it carries ticket and idempotency key.
-        idempotent: False marks it as non-idempotent.
-        repeats: how often a keyed request is sent again, each time at the
-            next entry, after any end but a whole answer; without a key
-            only after "not run".
+        keyed: whether requests carry a ticket and an idempotency key.
+        idempotent: False marks the requests as non-idempotent.
+        repeats: maximum number of retries, each at the next instance. A
+            keyed request is retried after every outcome but a complete
+            answer, others only if they did not run.
         deadline: seconds.
         wait: whether the next step waits for all outcomes.
     """
@@ -66,14 +67,18 @@
 
 
 class Cut(_StrictModel):
-    """A fault on the links between two sets of nodes, both ways.
+    """Inject a fault on the links between two sets of nodes.
 
     Attributes:
-        between: names or groups ("entries", "endpoints", "callers",
-            "platform"), first set.
+        between: first set: names of nodes or groups ("entries",
+            "endpoints", "callers", "platform").
         and_: second set.
-        one_way: only connections from the first set to the second.
-        how: kind of fault; its numbers as in ``proxy.Fault``.
+        one_way: whether only connections from the first set to the second
+            are affected.
+        how: kind of fault.
+        seconds: see ``proxy.Fault``.
+        size: see ``proxy.Fault``.
+        share: see ``proxy.Fault``.
     """
 
     model_config = pydantic.ConfigDict(
@@ -90,25 +95,24 @@
 
 
 class Partition(_StrictModel):
-    """Groups that can't reach each other; others reach all."""
+    """Partition the network between groups; other nodes reach all groups."""
 
     groups: tuple[tuple[str, ...], ...]
     how: proxy.How = proxy.How.HOLD
 
 
 class Edit(_StrictModel):
-    """An operator's edit; published at once.
+    """Publish an operator's edit.
 
     Attributes:
-        data_centre: name of the data centre, endpoint or instance whose
-            state is set.
-        endpoint: as above.
-        instance: as above.
+        data_centre: data centre whose state is set.
+        endpoint: endpoint whose state is set.
+        instance: instance whose state is set.
         state: "in", "leaving" or "out".
-        add_entry: a catalogue entry with its plain key.
-        remove_entry: name of an entry.
-        raw: a catalogue text published as it is, with the next version.
-        older: publish the catalogue before the last one again.
+        add_entry: catalogue entry to add, with its unhashed key.
+        remove_entry: name of a catalogue entry to remove.
+        raw: text to publish as the next version of the catalogue.
+        older: whether to publish the last but one catalogue again.
     """
 
     data_centre: str | None = None
@@ -122,18 +126,20 @@
 
 
 class Wait(_StrictModel):
-    """Wait until something has happened, at most so many seconds.
+    """Wait for an event, or pause if only ``seconds`` is set.
 
     Attributes:
-        seconds: the bound; past it the scenario fails, but for a plain
-            pause (no other field), which is only a pause.
-        outcomes: group whose outcomes are all there.
-        done: as ``outcomes``, but only so many.
-        received: group that endpoints have received ``count`` of.
-        answering: group of which ``count`` have a first token.
+        seconds: timeout, after which the scenario fails; or the length of
+            the pause.
+        outcomes: group of which all requests have an outcome.
+        done: as ``outcomes``, but only for ``count`` requests.
+        received: group of which endpoints have received ``count``
+            requests.
+        answering: group of which ``count`` requests have a first token.
         ended: process that has ended.
-        served: entry that every reachable instance accepts.
-        count: see above.
+        served: entry whose key is accepted by the instances ``at``.
+        at: instances that ``served`` refers to; all if empty.
+        count: number of requests, 1 if not given.
     """
 
     seconds: float = 30.0
@@ -147,23 +153,24 @@
 
 
 class Expect(_StrictModel):
-    """What must be true now; numbers are counts of a group.
+    """Check conditions; numbers count the requests of a group.
 
     Attributes:
         of: group of requests.
-        whole: exact number of whole answers; "all" is every one.
-        whole_at_least: at least so many.
-        not_run: exact number of last answers that say "not run".
-        unknown: exact number whose outcome is unknown to the caller.
-        cut: number of answers that began and didn't end whole.
-        codes: the only codes that may have been given.
-        received: exact number that endpoints received.
-        received_at_most: at most so many.
-        last_new_work: endpoints (by data centre or name) that received
-            nothing later than ``within`` seconds after their state
-            changed.
-        within: see above.
-        exit: process that ended with code 0.
+        whole: number of complete answers; "all" for every request.
+        whole_at_least: minimum number of complete answers.
+        not_run: number of requests that were finally refused as "not run".
+        unknown: number of requests with another outcome than ``whole`` and
+            ``not_run``.
+        cut: number of answers that began but are incomplete.
+        codes: the only codes that refusals and stream errors may have.
+        received: number of requests that endpoints received.
+        received_at_most: maximum number that endpoints received.
+        last_new_work: endpoint, or data centre whose endpoints are meant,
+            that received nothing later than ``within`` seconds after its
+            state was changed.
+        within: seconds for ``last_new_work``, and timeout for ``exit``.
+        exit: process that must end with exit code 0.
         never_back: entry whose key no instance refused after it had
             accepted it; needs a ``probe`` step.
         tier_order: no request of a higher tier was shed while an endpoint
@@ -187,26 +194,27 @@
 
 
 class Step(_StrictModel):
-    """One step: exactly one field is set.
+    """One step of a scenario; exactly one field is set.
 
     Attributes:
-        start: instance to start (again), at the same address.
-        kill: process to end by SIGKILL.
-        freeze: process to stop by SIGSTOP.
-        wake: process to wake by SIGCONT.
-        stop: instance to stop gracefully by SIGTERM.
-        cut: fault on links.
-        partition: groups that lose each other.
+        start: process to start or restart at the same address.
+        kill: process to kill with SIGKILL.
+        freeze: process to suspend with SIGSTOP.
+        wake: process to continue with SIGCONT.
+        stop: instance to stop gracefully with SIGTERM.
+        cut: fault to inject on links.
+        partition: groups to separate from each other.
         heal: "all", or a node whose links are healed.
-        platform: "down", "stale" or "up".
+        platform: mode of the platform: "down", "stale" or "up".
         edit: an operator's edit.
-        edits: edits that are published at the same time.
-        cold: engine that turns cold without warning.
-        slow: factor by engine name.
-        send: requests.
-        probe: entry whose key each instance is asked for, all the time.
-        wait: an event to wait for.
-        expect: what must be true.
+        edits: edits to publish at the same time.
+        cold: engine to restart cold without warning.
+        slow: slowdown factors by engine name.
+        send: requests to send.
+        probe: entry whose key each instance is asked for repeatedly from
+            now on.
+        wait: event to wait for.
+        expect: conditions to check.
     """
 
     start: str | None = None
@@ -229,9 +237,9 @@
 
     @pydantic.model_validator(mode="after")
     def check_single_field(self) -> "Step":
-        """Refuse a step that says nothing or two things."""
+        """Reject a step with none or several of its fields."""
         if len(self.model_fields_set) != 1:
-            raise ValueError("a step is one of its fields")
+            raise ValueError("a step must have exactly one field")
         return self
 
     @property
@@ -244,11 +252,12 @@
     """A scenario file.
 
     Attributes:
-        promise: the line of the brief that it proves.
+        promise: the guarantee that the scenario checks.
         story: what the callers see, in what order, and why.
         layout: the fleet.
-        steps: what happens.
-        settle: seconds to wait at the end for late wrong-doing.
+        steps: in order of execution.
+        settle: seconds to wait before the final checks, so that late
+            violations are seen.
     """
 
     promise: str
@@ -262,6 +271,6 @@
     """Read and check a scenario file.
 
     Raises:
-        ValueError: the file is no scenario.
+        ValueError: the file is not a valid scenario.
     """
     return Scenario.model_validate(yaml.safe_load(path.read_text()))
--- a/standins/scenario_soak.py
+++ b/standins/scenario_soak.py
@@ -1,4 +1,4 @@
-"""Random scenarios from the same steps, one a seed."""
+"""Soak test with random scenarios, one for each seed."""
 
 import random
 import sys
@@ -12,13 +12,13 @@
 NAMES = ("entry-1", "entry-2", "entry-3", "entry-4")
 ENGINES = ("engine-1", "engine-2")
 FAULT_COUNT = 8
-"""Faults in one scenario, each healed before the next but one."""
+"""Faults in one scenario; each is repaired before the next one."""
 
 ENGINE_SHAPE = {"cold_seconds": 0.5, "prefill_rate": 1000}
 
 
 def make_scenario(seed: int) -> models.Scenario:
-    """Return the scenario of a seed."""
+    """Return the random scenario of a seed."""
     rng = random.Random(seed)
     engines = [
         {"name": n, "models": ["small"], **ENGINE_SHAPE} for n in ENGINES
