--- a/standins/scenario_fleet.py
+++ b/standins/scenario_fleet.py
@@ -50,7 +50,7 @@
         """Start the process of an instance."""
         self.running.start(name, "standins", "instance", settings_file)
 
-    def publish_address(self, address: str) -> str:
+    def get_published_address(self, address: str) -> str:
         """Return the proxy's address for a real address."""
         first, second, *rest = address.split(".")
         return ".".join([first, str(int(second) + PROXY_OFFSET), *rest])
@@ -94,7 +94,7 @@
 
     def get_address(self, name: str) -> str:
         """Return the "ip:port" at which callers reach an instance."""
-        address = self.publish_address(self.get_real_address(name))
+        address = self.get_published_address(self.get_real_address(name))
         return f"{address}:{fleet.CALLER_PORT}"
 
     def get_real_address(self, name: str) -> str:
@@ -128,7 +128,7 @@
     def _listen(self, name: str, address: str, ports: tuple[int, ...]) -> None:
         for port in ports:
             self.links.listen(
-                (self.publish_address(address), port),
+                (self.get_published_address(address), port),
                 name,
                 (address, port),
                 NO_LISTENER_REPLY if port == fleet.CALLER_PORT else b"",
