--- a/citronport/platform/requests.py
+++ b/citronport/platform/requests.py
@@ -77,7 +77,7 @@
     """Decode the headers of a caller's request."""
     request_id = fields.get(const.HEADER_REQUEST_ID, "")
     if not request_id or len(request_id) > _MAX_ID_CHARS:
-        return _make_refusal("missing or overlong request id")
+        return _make_refusal("request id")
     try:
         prompt, output, has_token_counts = _parse_tokens(
             fields.get(const.HEADER_TOKEN_COUNTS)
@@ -86,7 +86,7 @@
         expected = int(fields.get(const.HEADER_LENGTH_HINT, output))
         timeout_seconds = _parse_timeout(fields.get(const.HEADER_DEADLINE))
     except ValueError:
-        return _make_refusal("invalid number in a header")
+        return _make_refusal("a number is not valid")
     return result.Ok(
         CallerRequest(
             request_id=request_id,
