--- a/measures/decisions/__init__.py
+++ b/measures/decisions/__init__.py
@@ -79,9 +79,9 @@
     name, policy, seed, variant = job
     load = loads.LOADS[name](seed)
     if variant == "without":
-        load = loads.leave_out(load, "engine-1")
+        load = loads.remove_endpoint(load, "engine-1")
     if variant == "alone":
-        load = loads.keep_small(load)
+        load = loads.keep_small_workspaces(load)
     site = site_module.Site(load)
     began = time.process_time()
     site.run(_make_policy(policy, site))
@@ -90,7 +90,7 @@
         "policy": policy,
         "seed": seed,
         "variant": variant,
-        **site.ledger.sum_up(),
+        **site.ledger.summarize(),
         "cold_overloads": sum(e.overloads for e in site.engines.values()),
         "received_cold": sum(e.received_cold for e in site.engines.values()),
         "inversion_cases": {
@@ -111,9 +111,9 @@
         case "independent":
             return instances.Instances(site, core.Scheduler, independent=True)
         case "round_robin":
-            return baselines.Simple(site, by_report=False)
+            return baselines.ImmediateDispatch(site, by_report=False)
         case "least_reported":
-            return baselines.Simple(site, by_report=True)
+            return baselines.ImmediateDispatch(site, by_report=True)
         case "clairvoyant":
             return baselines.Clairvoyant(site)
         case _:
--- a/measures/decisions/aims.py
+++ b/measures/decisions/aims.py
@@ -8,14 +8,14 @@
 
 def print_aims(rows: list[dict[str, Any]]) -> None:
     """Print each aim, whether it is met, and the worst figure."""
-    for text, values, met in judge(rows):
+    for text, values, met in evaluate(rows):
         if values:
             missed = [v for v in values if not met(v)]
             word = "met" if not missed else f"MISSED in {len(missed)} runs"
             print(f"{text}: {word}; all: {[round(v, 3) for v in values]}")
 
 
-def judge(
+def evaluate(
     rows: list[dict[str, Any]],
 ) -> list[tuple[str, list[float], collections.abc.Callable[[float], bool]]]:
     """Return for each aim its text, its figures and when one meets it."""
@@ -29,7 +29,7 @@
     judged += [
         (
             "saturation: top tier at least 0.99 of offered",
-            [_get_part(r, 0) for r in saturated],
+            [_get_goodput_share(r, 0) for r in saturated],
             lambda v: v >= 0.99,
         ),
         (
@@ -37,7 +37,7 @@
             [
                 sum(r["goodput_by_tier"]) / sum(o["goodput_by_tier"])
                 for r in saturated
-                for o in _match(rows, r, "clairvoyant")
+                for o in _find_matching_rows(rows, r, "clairvoyant")
             ],
             lambda v: v >= 0.90,
         ),
@@ -46,19 +46,24 @@
             [
                 r["wasted_prefill_tokens"] / o["wasted_prefill_tokens"]
                 for r in plain
-                for o in _match(rows, r, "least_reported")
+                for o in _find_matching_rows(rows, r, "least_reported")
             ],
             lambda v: v <= 0.25,
         ),
         (
             "dc_leave_return: top tier at least 0.99 of offered",
-            [_get_part(r, 0) for r in plain if r["load"] == "dc_leave_return"],
+            [
+                _get_goodput_share(r, 0)
+                for r in plain
+                if r["load"] == "dc_leave_return"
+            ],
             lambda v: v >= 0.99,
         ),
         (
             "skew: small workspaces at least 0.98 of what they get alone",
             [
-                sum(_get_small(r)) / sum(_get_small(o))
+                sum(_get_small_workspace_goodput(r))
+                / sum(_get_small_workspace_goodput(o))
                 for r in plain
                 for o in own
                 if r["load"] == "skew"
@@ -70,7 +75,8 @@
         (
             "the same without the lowest tier",
             [
-                sum(_get_small(r, 2)) / sum(_get_small(o, 2))
+                sum(_get_small_workspace_goodput(r, 2))
+                / sum(_get_small_workspace_goodput(o, 2))
                 for r in plain
                 for o in own
                 if r["load"] == "skew"
@@ -95,7 +101,7 @@
     return judged
 
 
-def _match(
+def _find_matching_rows(
     rows: list[dict[str, Any]], row: dict[str, Any], policy: str
 ) -> list[dict[str, Any]]:
     return [
@@ -107,11 +113,13 @@
     ]
 
 
-def _get_part(row: dict[str, Any], tier: int) -> float:
+def _get_goodput_share(row: dict[str, Any], tier: int) -> float:
     return row["goodput_by_tier"][tier] / max(1, row["offered_by_tier"][tier])
 
 
-def _get_small(row: dict[str, Any], lowest: int = 3) -> list[int]:
+def _get_small_workspace_goodput(
+    row: dict[str, Any], lowest: int = 3
+) -> list[int]:
     return [
         number
         for entry, number in row["goodput_by_entry"].items()
--- a/measures/decisions/baselines.py
+++ b/measures/decisions/baselines.py
@@ -8,10 +8,10 @@
 from measures.decisions import loads
 from measures.decisions import site as site_module
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
-class Simple:
+class ImmediateDispatch:
     """Sends each request at once; keeps no queue and knows no tiers.
 
     Args:
@@ -22,27 +22,29 @@
     def __init__(self, site: site_module.Site, *, by_report: bool) -> None:
         self._site = site
         self._by_report = by_report
-        self._turn = itertools.count()
+        self._sequence = itertools.count()
         self._reports: dict[str, models.LoadReport] = {}
-        self._lives: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
         self._requests: dict[str, models.Request] = {}
-        self._places: dict[str, str] = {}
-        self._tries: dict[str, int] = {}
+        self._endpoints: dict[str, str] = {}
+        self._attempts: dict[str, int] = {}
 
     def arrive(self, arrival: loads.Arrival) -> None:
         """Send it and give up at its deadline."""
         request = arrival.request
         self._requests[request.request_id] = request
-        self._site.clock.at(
-            request.deadline, self._give_up, request.request_id
+        self._site.clock.call_at(
+            request.deadline, self._expire, request.request_id
         )
         self._send(request)
 
     def connect(self, endpoint: str, *, up: bool) -> None:
         """Use only endpoints that are connected."""
-        self._lives.pop(endpoint, None)
+        self._incarnations.pop(endpoint, None)
         if up:
-            self._lives[endpoint] = self._site.engines[endpoint].life
+            self._incarnations[endpoint] = self._site.engines[
+                endpoint
+            ].incarnation
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
         """Believe the report as it is."""
@@ -69,25 +71,25 @@
         request = self._requests.get(request_id)
         if request is None:
             return
-        self._tries[request_id] = self._tries.get(request_id, 0) + 1
-        if sent or self._tries[request_id] >= TRIES:
+        self._attempts[request_id] = self._attempts.get(request_id, 0) + 1
+        if sent or self._attempts[request_id] >= MAX_ATTEMPTS:
             self._requests.pop(request_id)
             self._site.refuse(request_id, errors.Code.ENDPOINT_LOST)
             return
         self._send(request)
 
-    def _give_up(self, request_id: str) -> None:
+    def _expire(self, request_id: str) -> None:
         if self._requests.pop(request_id, None) is None:
             return
         self._site.refuse(request_id, errors.Code.DEADLINE_PASSED_RUNNING)
-        if request_id in self._places:
-            self._site.cancel(self._places[request_id], request_id)
+        if request_id in self._endpoints:
+            self._site.cancel(self._endpoints[request_id], request_id)
 
     def _send(self, request: models.Request) -> None:
         usable = [
             name
             for name, endpoint in self._fleet.endpoints.items()
-            if name in self._lives
+            if name in self._incarnations
             and request.model in endpoint.models
             and self._fleet.data_centres[endpoint.data_centre]
             == models.Service.IN
@@ -96,17 +98,19 @@
             self._requests.pop(request.request_id)
             self._site.refuse(request.request_id, errors.Code.NO_ENDPOINT)
             return
-        place = usable[next(self._turn) % len(usable)]
+        place = usable[next(self._sequence) % len(usable)]
         if self._by_report:
             place = min(usable, key=self._get_load)
         name = request.request_id
-        self._places[name] = place
+        self._endpoints[name] = place
         self._site.send(
             "any",
             request,
             place,
-            self._lives[place],
-            lambda: self._site.ledger.answer(name, self._site.clock.now),
+            self._incarnations[place],
+            lambda: self._site.ledger.record_answer(
+                name, self._site.clock.now
+            ),
         )
 
     def _get_load(self, name: str) -> float:
@@ -120,28 +124,30 @@
 class Clairvoyant:
     """One queue that knows lengths and true states: the upper limit."""
 
-    LOOK = 60
+    QUEUE_SCAN_LIMIT = 60
 
     def __init__(self, site: site_module.Site) -> None:
         self._site = site
         self._waiting: list[models.Request] = []
         self._running: dict[str, tuple[models.Request, str]] = {}
         self._sent: dict[str, set[str]] = {e: set() for e in site.engines}
-        self._backlog: dict[str, float] = dict.fromkeys(site.engines, 0.0)
+        self._prefill_idle_at: dict[str, float] = dict.fromkeys(
+            site.engines, 0.0
+        )
         self._fleet = site.fleet
 
     def arrive(self, arrival: loads.Arrival) -> None:
         """Queue it by tier and deadline."""
         self._waiting.append(arrival.request)
         self._waiting.sort(key=lambda r: (r.tier, r.deadline))
-        self._site.clock.at(
-            arrival.request.deadline, self._give_up, arrival.request
+        self._site.clock.call_at(
+            arrival.request.deadline, self._expire, arrival.request
         )
-        self._start()
+        self._dispatch_waiting()
 
     def connect(self, endpoint: str, *, up: bool) -> None:
         """It looks at the true state instead."""
-        self._start()
+        self._dispatch_waiting()
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
         """It looks at the true state instead."""
@@ -160,39 +166,39 @@
         self, sender: str, request_id: str, output: int, cached: int
     ) -> None:
         """A place is free."""
-        self._free(request_id)
-        self._start()
+        self._release(request_id)
+        self._dispatch_waiting()
 
     def fail(self, sender: str, request_id: str, sent: bool) -> None:
         """Send again what was not sent."""
-        request = self._free(request_id)
+        request = self._release(request_id)
         if request is not None:
             self._site.refuse(request_id, errors.Code.ENDPOINT_LOST)
-        self._start()
+        self._dispatch_waiting()
 
-    def _free(self, request_id: str) -> models.Request | None:
+    def _release(self, request_id: str) -> models.Request | None:
         running = self._running.pop(request_id, None)
         if running is None:
             return None
         self._sent[running[1]].discard(request_id)
         return running[0]
 
-    def _give_up(self, request: models.Request) -> None:
+    def _expire(self, request: models.Request) -> None:
         name = request.request_id
         if request in self._waiting:
             self._waiting.remove(request)
             self._site.refuse(name, errors.Code.DEADLINE_PASSED_RUNNING)
         elif name in self._running:
             place = self._running[name][1]
-            self._free(name)
+            self._release(name)
             self._site.cancel(place, name)
             self._site.refuse(name, errors.Code.DEADLINE_PASSED_RUNNING)
-            self._start()
+            self._dispatch_waiting()
 
-    def _start(self) -> None:
+    def _dispatch_waiting(self) -> None:
         if not any(self._has_room(e) for e in self._site.engines):
             return
-        for request in list(self._waiting[: self.LOOK]):
+        for request in list(self._waiting[: self.QUEUE_SCAN_LIMIT]):
             best = self._choose(request)
             if best is None:
                 continue
@@ -209,7 +215,7 @@
         for name, target in self._site.engines.items():
             if not self._fits(request, name, target):
                 continue
-            end = self._get_end(request, name, target)
+            end = self._estimate_end(request, name, target)
             if end <= request.deadline and (best is None or end < best[0]):
                 best = (end, name)
         if best is None or best[0] < now:
@@ -236,18 +242,18 @@
             and tokens <= target.shape.cold_prompt_tokens
         )
 
-    def _get_end(
+    def _estimate_end(
         self, request: models.Request, name: str, target: engine.Engine
     ) -> float:
         now = self._site.clock.now
-        begin = max(now, self._backlog[name])
+        begin = max(now, self._prefill_idle_at[name])
         batch = len(self._sent[name]) + 1
         rate = target.shape.decode_rate / (1 + 0.05 * batch)
         length = self._site.lengths[request.request_id]
         decode = length / rate * target.slow
-        return begin + self._get_prefill(request, target) + decode
+        return begin + self._estimate_prefill_seconds(request, target) + decode
 
-    def _get_prefill(
+    def _estimate_prefill_seconds(
         self, request: models.Request, target: engine.Engine
     ) -> float:
         left = request.prompt_tokens - target.get_cached(request.prefix)
@@ -257,9 +263,9 @@
     def _send(self, request: models.Request, place: str) -> None:
         target = self._site.engines[place]
         now = self._site.clock.now
-        self._backlog[place] = max(
-            now, self._backlog[place]
-        ) + self._get_prefill(request, target)
+        self._prefill_idle_at[place] = max(
+            now, self._prefill_idle_at[place]
+        ) + self._estimate_prefill_seconds(request, target)
         name = request.request_id
         self._running[name] = (request, place)
         self._sent[place].add(name)
@@ -267,6 +273,8 @@
             "any",
             request,
             place,
-            target.life,
-            lambda: self._site.ledger.answer(name, self._site.clock.now),
+            target.incarnation,
+            lambda: self._site.ledger.record_answer(
+                name, self._site.clock.now
+            ),
         )
--- a/measures/decisions/engine.py
+++ b/measures/decisions/engine.py
@@ -28,13 +28,13 @@
 
     request: models.Request
     output_tokens: int
-    first_token: collections.abc.Callable[[], None]
-    finished: collections.abc.Callable[[int], None]
-    cut: collections.abc.Callable[[], None]
+    on_first_token: collections.abc.Callable[[], None]
+    on_finished: collections.abc.Callable[[int], None]
+    on_cut: collections.abc.Callable[[], None]
     prefilled: int = 0
     cached: int = 0
-    repeated: int = 0
-    over: bool = False
+    recomputed: int = 0
+    ended: bool = False
     sequence: int = 0
 
 
@@ -42,34 +42,36 @@
     """Batch, serial prefill, shared decoding, prefix cache, cold start.
 
     Attributes:
-        life: grows with each restart that breaks connections.
+        incarnation: grows with each restart that breaks connections.
         overloads: times it fell over in cold start.
-        seen: prefix blocks that any engine of the fleet has prefilled.
+        prefilled_blocks: prefix blocks that any engine of the fleet has prefilled.
     """
 
     def __init__(
         self,
         shape: models.Endpoint,
         clock: timeline.Timeline,
-        seen: set[int],
+        prefilled_blocks: set[int],
         cold_seconds: float = 8.0,
     ) -> None:
         self.shape = shape
-        self.life = 1
+        self.incarnation = 1
         self.up = True
         self.slow = 1.0
         self.overloads = 0
         self.received_cold = 0
         self.received = 0
-        self.seen = seen
-        self.broken: collections.abc.Callable[[], None] = lambda: None
+        self.prefilled_blocks = prefilled_blocks
+        self.on_connection_change: collections.abc.Callable[[], None] = (
+            lambda: None
+        )
         self._clock = clock
         self._cold_seconds = cold_seconds
         self._warm_at = -math.inf
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._plan = 0
+        self._plan_id = 0
         self._reset()
 
     def _reset(self) -> None:
@@ -80,17 +82,17 @@
         self._decoding: list[tuple[float, int, Job]] = []
         self._in_batch = 0
         self._progress = 0.0
-        self._at = self._clock.now
+        self._progress_at = self._clock.now
         self._sequence = 0
         self._rate_in_force = 0.0
-        self._plan += 1
+        self._plan_id += 1
 
     @property
     def cold(self) -> bool:
         """Whether it is in cold start."""
         return self._clock.now < self._warm_at
 
-    def turn_cold(self, *, restart: bool, down: float = 0.0) -> None:
+    def enter_cold_start(self, *, restart: bool, down: float = 0.0) -> None:
         """Drop all work and the cache and start over, cold.
 
         Args:
@@ -102,19 +104,19 @@
         self._cache.clear()
         self._warm_at = self._clock.now + down + self._cold_seconds
         for job in jobs:
-            job.over = True
-            job.cut()
+            job.ended = True
+            job.on_cut()
         if not restart:
             return
-        self.life += 1
+        self.incarnation += 1
         self.up = False
-        self.broken()
-        self._clock.after(down, self._rise, self.life)
+        self.on_connection_change()
+        self._clock.call_later(down, self._come_up, self.incarnation)
 
-    def _rise(self, life: int) -> None:
-        if life == self.life:
+    def _come_up(self, incarnation: int) -> None:
+        if incarnation == self.incarnation:
             self.up = True
-            self.broken()
+            self.on_connection_change()
 
     def receive(self, job: Job) -> None:
         """Take a job in as it comes."""
@@ -128,7 +130,7 @@
                 or tokens > self.shape.cold_prompt_tokens
             ):
                 self.overloads += 1
-                self.turn_cold(restart=True, down=1.0)
+                self.enter_cold_start(restart=True, down=1.0)
                 return
         self._waiting.append(job)
         self._advance()
@@ -138,8 +140,8 @@
         job = self.jobs.pop(request_id, None)
         if job is None:
             return
-        self._settle()
-        job.over = True
+        self._update_progress()
+        job.ended = True
         if job in self._waiting:
             self._waiting.remove(job)
         else:
@@ -167,17 +169,17 @@
         return count * BLOCK_TOKENS
 
     def _advance(self) -> None:
-        self._settle()
+        self._update_progress()
         while self._waiting and self._in_batch < self.shape.concurrency:
             self._in_batch += 1
             self._prefills.append(self._waiting.popleft())
         self._start_prefill()
-        self._plan_finish()
+        self._schedule_finish()
 
     def _start_prefill(self) -> None:
         while self._prefilling is None and self._prefills:
             job = self._prefills.popleft()
-            if job.over:
+            if job.ended:
                 continue
             prefix = job.request.prefix
             tokens = job.request.prompt_tokens
@@ -185,62 +187,64 @@
             job.prefilled = tokens - job.cached
             known = 0
             for block in prefix:
-                if block not in self.seen:
+                if block not in self.prefilled_blocks:
                     break
                 known += BLOCK_TOKENS
-            job.repeated = max(0, min(tokens, known) - job.cached)
+            job.recomputed = max(0, min(tokens, known) - job.cached)
             rate = self.shape.prefill_rate / self.slow
             if self.cold:
                 rate /= COLD_FACTOR
             self._prefilling = job
-            self._clock.after(
-                job.prefilled / rate, self._end_prefill, job, self.life
+            self._clock.call_later(
+                job.prefilled / rate, self._end_prefill, job, self.incarnation
             )
 
-    def _end_prefill(self, job: Job, life: int) -> None:
-        if life != self.life or self._prefilling is not job:
+    def _end_prefill(self, job: Job, incarnation: int) -> None:
+        if incarnation != self.incarnation or self._prefilling is not job:
             return
-        self._settle()
+        self._update_progress()
         self._prefilling = None
         for block in job.request.prefix:
             self._cache[block] = None
             self._cache.move_to_end(block)
-            self.seen.add(block)
+            self.prefilled_blocks.add(block)
         while len(self._cache) * BLOCK_TOKENS > self.shape.cache_tokens:
             self._cache.popitem(last=False)
-        if not job.over:
+        if not job.ended:
             self._sequence += 1
             end = self._progress + job.output_tokens
             heapq.heappush(self._decoding, (end, self._sequence, job))
-            job.first_token()
+            job.on_first_token()
         self._advance()
 
     def _rate(self) -> float:
         share = 1 + 0.05 * max(0, self._in_batch - 1)
         return self.shape.decode_rate / share / self.slow
 
-    def _settle(self) -> None:
+    def _update_progress(self) -> None:
         now = self._clock.now
-        self._progress += (now - self._at) * self._rate_in_force
-        self._at = now
+        self._progress += (now - self._progress_at) * self._rate_in_force
+        self._progress_at = now
 
-    def _plan_finish(self) -> None:
-        while self._decoding and self._decoding[0][2].over:
+    def _schedule_finish(self) -> None:
+        while self._decoding and self._decoding[0][2].ended:
             heapq.heappop(self._decoding)
         self._rate_in_force = self._rate()
-        self._plan += 1
+        self._plan_id += 1
         if not self._decoding:
             return
         left = max(0.0, self._decoding[0][0] - self._progress)
-        self._clock.after(left / self._rate_in_force, self._finish, self._plan)
+        self._clock.call_later(
+            left / self._rate_in_force, self._finish, self._plan_id
+        )
 
     def _finish(self, plan: int) -> None:
-        if plan != self._plan:
+        if plan != self._plan_id:
             return
-        self._settle()
+        self._update_progress()
         _, _, job = heapq.heappop(self._decoding)
-        job.over = True
+        job.ended = True
         self.jobs.pop(job.request.request_id, None)
         self._in_batch -= 1
         self._advance()
-        job.finished(job.cached)
+        job.on_finished(job.cached)
--- a/measures/decisions/instances.py
+++ b/measures/decisions/instances.py
@@ -9,12 +9,12 @@
 from measures.decisions import site as site_module
 
 NAMES = tuple(f"entry-{n}" for n in range(1, 8))
-SUMMARY_SECONDS = 0.25
-TICK_SECONDS = 0.05
+SUMMARY_INTERVAL_SECONDS = 0.25
+TICK_INTERVAL_SECONDS = 0.05
 LEASE_SECONDS = 4.0
 """A silent owner's endpoints go to others after so long."""
 
-REJOIN_SECONDS = 2.0
+REJOIN_DELAY_SECONDS = 2.0
 """A woken instance gets its endpoints back after so long."""
 
 
@@ -25,7 +25,7 @@
         self,
         site: site_module.Site,
         make: collections.abc.Callable[[str], object],
-        tick: float = TICK_SECONDS,
+        tick: float = TICK_INTERVAL_SECONDS,
         independent: bool = False,
     ) -> None:
         """Start the schedulers.
@@ -44,14 +44,14 @@
         self.schedulers = {name: make(name) for name in NAMES}
         self._frozen: dict[str, list[models.Event]] = {}
         self._silent: set[str] = set()
-        self._entry: dict[str, str] = {}
+        self._entry_instances: dict[str, str] = {}
         self._owner: dict[str, str] = {}
         self._refused_by: dict[str, tuple[str, ...]] = {}
         self._requests: dict[str, models.Request] = {}
-        self._lives: dict[str, int] = {}
-        self._settled: set[str] = set()
-        self._clock.after(0.0, self._tick)
-        self._clock.after(0.1, self._speak)
+        self._incarnations: dict[str, int] = {}
+        self._ended: set[str] = set()
+        self._clock.call_later(0.0, self._tick)
+        self._clock.call_later(0.1, self._send_summaries)
         self._assign(NAMES)
 
     def arrive(self, arrival: loads.Arrival) -> None:
@@ -60,35 +60,37 @@
         usable = [n for n in NAMES if n not in self._silent]
         ranked = ownership.rank_instances(request.workspace, usable)
         self._requests[request.request_id] = request
-        self._entry[request.request_id] = ranked[0]
+        self._entry_instances[request.request_id] = ranked[0]
         self._handle(ranked[0], models.RequestArrived(request=request))
 
     def connect(self, endpoint: str, *, up: bool) -> None:
         """Every instance sees the connection."""
-        self._lives[endpoint] = self._site.engines[endpoint].life
+        self._incarnations[endpoint] = self._site.engines[endpoint].incarnation
         event: models.Event = models.EndpointLost(endpoint=endpoint)
         if up:
             event = models.EndpointConnected(endpoint=endpoint)
-        self._tell_all(event)
+        self._broadcast(event)
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
         """Every instance reads the report."""
-        self._tell_all(
+        self._broadcast(
             models.EndpointReported(endpoint=endpoint, report=report)
         )
 
     def publish(self, fleet: models.Fleet) -> None:
         """Every instance gets the catalogue."""
-        self._tell_all(models.FleetChanged(fleet=fleet))
+        self._broadcast(models.FleetChanged(fleet=fleet))
 
     def freeze(self, instance: str, seconds: float) -> None:
         """An instance stops; its lease runs out; it wakes up late."""
         self._frozen[instance] = []
         left = [n for n in NAMES if n != instance]
-        self._clock.after(2.0, self._fall_silent, instance)
-        self._clock.after(LEASE_SECONDS, self._assign, left)
-        self._clock.after(seconds, self._wake, instance)
-        self._clock.after(seconds + REJOIN_SECONDS, self._assign, NAMES)
+        self._clock.call_later(2.0, self._mark_silent, instance)
+        self._clock.call_later(LEASE_SECONDS, self._assign, left)
+        self._clock.call_later(seconds, self._wake, instance)
+        self._clock.call_later(
+            seconds + REJOIN_DELAY_SECONDS, self._assign, NAMES
+        )
 
     def take_first_token(self, sender: str, request_id: str) -> None:
         """See ``site.Policy``."""
@@ -106,10 +108,12 @@
                 cached_tokens=cached,
             ),
         )
-        entry = self._entry[request_id]
+        entry = self._entry_instances[request_id]
         if entry != sender:
             event = models.AnswerFinished(request_id=request_id)
-            self._clock.after(site_module.HOP, self._handle, entry, event)
+            self._clock.call_later(
+                site_module.HOP_SECONDS, self._handle, entry, event
+            )
 
     def fail(self, sender: str, request_id: str, sent: bool) -> None:
         """See ``site.Policy``."""
@@ -117,7 +121,7 @@
             sender, models.DispatchFailed(request_id=request_id, sent=sent)
         )
 
-    def _tell_all(self, event: models.Event) -> None:
+    def _broadcast(self, event: models.Event) -> None:
         for name in NAMES:
             self._handle(name, event)
 
@@ -138,10 +142,10 @@
                 name, models.OwnershipChanged(owned=owned, owners=owners)
             )
 
-    def _fall_silent(self, instance: str) -> None:
+    def _mark_silent(self, instance: str) -> None:
         if instance in self._frozen:
             self._silent.add(instance)
-            self._tell_all(models.InstanceGone(instance=instance))
+            self._broadcast(models.InstanceGone(instance=instance))
 
     def _wake(self, instance: str) -> None:
         missed = self._frozen.pop(instance)
@@ -159,22 +163,24 @@
                 self._handle(instance, event)
 
     def _tick(self) -> None:
-        self._tell_all(models.TimePassed())
-        if self._clock.now < loads.SECONDS + site_module.SETTLE:
-            self._clock.after(self._tick_seconds, self._tick)
+        self._broadcast(models.TimePassed())
+        if self._clock.now < loads.LOAD_SECONDS + site_module.DRAIN_SECONDS:
+            self._clock.call_later(self._tick_seconds, self._tick)
 
-    def _speak(self) -> None:
+    def _send_summaries(self) -> None:
         for name, scheduler in self.schedulers.items():
             if name in self._frozen:
                 continue
             event = models.InstanceReported(summary=scheduler.summarize())
             for other in NAMES:
                 if other != name:
-                    self._clock.after(
-                        site_module.HOP, self._handle, other, event
+                    self._clock.call_later(
+                        site_module.HOP_SECONDS, self._handle, other, event
                     )
-        if self._clock.now < loads.SECONDS + site_module.SETTLE:
-            self._clock.after(SUMMARY_SECONDS, self._speak)
+        if self._clock.now < loads.LOAD_SECONDS + site_module.DRAIN_SECONDS:
+            self._clock.call_later(
+                SUMMARY_INTERVAL_SECONDS, self._send_summaries
+            )
 
     def _handle(self, name: str, event: models.Event) -> None:
         if name in self._frozen:
@@ -182,9 +188,9 @@
             return
         actions = self.schedulers[name].handle(event, self._clock.now)
         for action in actions:
-            self._act(name, action)
+            self._execute(name, action)
 
-    def _act(self, name: str, action: models.Action) -> None:
+    def _execute(self, name: str, action: models.Action) -> None:
         request_id = action.request_id
         match action:
             case models.Dispatch():
@@ -193,8 +199,11 @@
                 event = models.RequestArrived(
                     request=self._requests[request_id], forwarded=True
                 )
-                self._clock.after(
-                    site_module.HOP, self._handle, action.instance, event
+                self._clock.call_later(
+                    site_module.HOP_SECONDS,
+                    self._handle,
+                    action.instance,
+                    event,
                 )
             case models.Cancel():
                 if action.endpoint:
@@ -207,7 +216,7 @@
 
     def _dispatch(self, name: str, action: models.Dispatch) -> None:
         request = self._requests[action.request_id]
-        if action.request_id in self._settled:
+        if action.request_id in self._ended:
             self._handle(
                 name,
                 models.DispatchFailed(
@@ -221,23 +230,23 @@
             name,
             request,
             action.endpoint,
-            self._lives[action.endpoint],
+            self._incarnations[action.endpoint],
             lambda: self._answer(action.request_id),
         )
 
     def _answer(self, request_id: str) -> None:
-        self._settled.add(request_id)
-        self._site.ledger.answer(request_id, self._clock.now)
+        self._ended.add(request_id)
+        self._site.ledger.record_answer(request_id, self._clock.now)
 
     def _refuse(self, name: str, action: models.Refuse) -> None:
         request_id = action.request_id
         refusal = action.refusal
-        if self._entry[request_id] == name:
-            self._settled.add(request_id)
+        if self._entry_instances[request_id] == name:
+            self._ended.add(request_id)
             self._site.refuse(request_id, refusal.code)
             return
         if refusal.meaning.ran == errors.Ran.OUTCOME_UNKNOWN:
-            self._settled.add(request_id)
+            self._ended.add(request_id)
             self._site.refuse(request_id, refusal.code)
             return
         tried = (*self._refused_by.get(request_id, ()), name)
@@ -245,6 +254,9 @@
         event = models.RequestArrived(
             request=self._requests[request_id], refused_by=tried
         )
-        self._clock.after(
-            site_module.HOP, self._handle, self._entry[request_id], event
+        self._clock.call_later(
+            site_module.HOP_SECONDS,
+            self._handle,
+            self._entry_instances[request_id],
+            event,
         )
--- a/measures/decisions/ledger.py
+++ b/measures/decisions/ledger.py
@@ -9,7 +9,7 @@
 from citronport.scheduler import models
 from measures.decisions import engine
 
-SHED = (
+SHED_CODES = (
     errors.Code.OVERLOADED,
     errors.Code.DEADLINE_TOO_NEAR,
     errors.Code.DEADLINE_PASSED_WAITING,
@@ -40,57 +40,59 @@
         self.wasted = 0
         self.prefilled = 0
         self.sent_before_seen = 0
-        self._served = [0] * const.TIERS
+        self._running_by_tier = [0] * const.TIERS
 
-    def arrive(self, request: models.Request, now: float) -> None:
+    def record_arrival(self, request: models.Request, now: float) -> None:
         """A caller sent a request."""
         self.records[request.request_id] = Record(request=request, arrived=now)
 
-    def send(self, request_id: str) -> None:
+    def record_send(self, request_id: str) -> None:
         """An endpoint received a request."""
         record = self.records[request_id]
         record.sends += 1
-        self._served[record.request.tier] += 1
+        self._running_by_tier[record.request.tier] += 1
 
-    def give_first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """The first token reached the caller."""
         record = self.records[request_id]
         if record.first_token is None:
             record.first_token = now
 
-    def end(self, job: engine.Job, *, whole: bool) -> None:
+    def record_job_end(self, job: engine.Job, *, whole: bool) -> None:
         """An endpoint is done with a job."""
-        self._served[job.request.tier] -= 1
+        self._running_by_tier[job.request.tier] -= 1
         self.prefilled += job.prefilled
-        self.wasted += job.repeated if whole else job.prefilled
+        self.wasted += job.recomputed if whole else job.prefilled
 
-    def answer(self, request_id: str, now: float) -> None:
+    def record_answer(self, request_id: str, now: float) -> None:
         """The whole answer reached the caller."""
         record = self.records[request_id]
         if record.code is None:
             record.finished = now
 
-    def refuse(self, request_id: str, code: errors.Code, now: float) -> None:
+    def record_refusal(
+        self, request_id: str, code: errors.Code, now: float
+    ) -> None:
         """The caller got a final refusal."""
         record = self.records[request_id]
         if record.code is not None or record.finished is not None:
             return
         record.code = code
         tier = record.request.tier
-        lower = sum(self._served[tier + 1 :])
+        lower = sum(self._running_by_tier[tier + 1 :])
         # One that was started too late to give a token was as good as shed.
         late = code == errors.Code.DEADLINE_PASSED_RUNNING
-        shed = code in SHED or (late and record.first_token is None)
+        shed = code in SHED_CODES or (late and record.first_token is None)
         if shed and lower:
             self.inversions += 1
             self.inversion_cases[tier, code.name] += 1
 
-    def count_good(self, record: Record) -> bool:
+    def is_in_time(self, record: Record) -> bool:
         """Return whether a request was answered whole in time."""
         end = record.finished
         return end is not None and end <= record.request.deadline + 1e-9
 
-    def sum_up(self) -> dict[str, Any]:
+    def summarize(self) -> dict[str, Any]:
         """Return the figures of the run."""
         offered = [0] * const.TIERS
         good = [0] * const.TIERS
@@ -102,7 +104,7 @@
         for record in self.records.values():
             tier = record.request.tier
             offered[tier] += 1
-            if self.count_good(record):
+            if self.is_in_time(record):
                 good[tier] += 1
                 by_workspace[record.request.workspace] += 1
                 by_entry[record.request.entry] += 1
--- a/measures/decisions/loads.py
+++ b/measures/decisions/loads.py
@@ -6,21 +6,27 @@
 
 from citronport.scheduler import models
 
-SECONDS = 90.0
+LOAD_SECONDS = 90.0
 """Length of each load."""
 
-CAPACITY = 36.0
+CAPACITY_PER_SECOND = 36.0
 """Requests a second of the usual mix that the engines bear, measured."""
 
-LARGE_SHARE = {"ws-1": 0.4, "ws-2": 0.3, "ws-3": 0.1, "ws-4": 0.1, "ws-5": 0.1}
-SKEWED_SHARE = {
+WORKSPACE_SHARES = {
+    "ws-1": 0.4,
+    "ws-2": 0.3,
+    "ws-3": 0.1,
+    "ws-4": 0.1,
+    "ws-5": 0.1,
+}
+SKEWED_WORKSPACE_SHARES = {
     "ws-1": 0.8,
     "ws-2": 0.05,
     "ws-3": 0.05,
     "ws-4": 0.05,
     "ws-5": 0.05,
 }
-SYSTEM_BLOCKS = 4
+SYSTEM_PROMPT_BLOCKS = 4
 """Blocks of 128 tokens that all requests of a workspace begin with."""
 
 MAX_TOKENS = 1024
@@ -28,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Work:
+class WorkKind:
     """One kind of work; tokens are (lowest, highest)."""
 
     tier: int
@@ -40,11 +46,11 @@
     documents: int = 0
 
 
-MIX = (
-    Work(tier=0, share=0.35, blocks=(1, 2), output=(8, 30), seconds=4),
-    Work(tier=0, share=0.10, blocks=(1, 4), output=(20, 40), seconds=6),
-    Work(tier=1, share=0.30, blocks=(2, 8), output=(40, 120), seconds=15),
-    Work(
+WORK_KINDS = (
+    WorkKind(tier=0, share=0.35, blocks=(1, 2), output=(8, 30), seconds=4),
+    WorkKind(tier=0, share=0.10, blocks=(1, 4), output=(20, 40), seconds=6),
+    WorkKind(tier=1, share=0.30, blocks=(2, 8), output=(40, 120), seconds=15),
+    WorkKind(
         tier=2,
         share=0.17,
         blocks=(20, 40),
@@ -52,7 +58,7 @@
         seconds=30,
         documents=6,
     ),
-    Work(
+    WorkKind(
         tier=3,
         share=0.08,
         blocks=(60, 140),
@@ -64,7 +70,7 @@
 )
 """Status reads and reservations; farmer answers; summaries; long reviews."""
 
-LONG_SHARE = (0.40, 0.05, 0.20, 0.15, 0.20)
+LONG_WORK_MIX = (0.40, 0.05, 0.20, 0.15, 0.20)
 """Shares of the same kinds where long work meets short work."""
 
 
@@ -141,7 +147,7 @@
         models.Entry(
             name=f"{workspace}-{tier}", workspace=workspace, tier=tier
         )
-        for workspace in LARGE_SHARE
+        for workspace in WORKSPACE_SHARES
         for tier in range(4)
     ]
     return models.Fleet(
@@ -155,12 +161,12 @@
     )
 
 
-def draw(
+def draw_arrivals(
     seed: int,
     rate: collections.abc.Callable[[float], float],
-    shares: dict[str, float] = LARGE_SHARE,
-    mix: tuple[float, ...] = tuple(w.share for w in MIX),
-    seconds: float = SECONDS,
+    shares: dict[str, float] = WORKSPACE_SHARES,
+    mix: tuple[float, ...] = tuple(w.share for w in WORK_KINDS),
+    seconds: float = LOAD_SECONDS,
 ) -> tuple[Arrival, ...]:
     """Draw Poisson arrivals; ``rate`` gives requests a second at a time."""
     source = random.Random(seed)
@@ -174,7 +180,7 @@
             return tuple(arrivals)
         if source.random() * peak > rate(time):
             continue
-        work = source.choices(MIX, mix)[0]
+        work = source.choices(WORK_KINDS, mix)[0]
         workspace = source.choices(list(shares), list(shares.values()))[0]
         arrivals.append(
             _draw_one(source, work, workspace, time, len(arrivals), documents)
@@ -183,14 +189,14 @@
 
 def _draw_one(
     source: random.Random,
-    work: Work,
+    work: WorkKind,
     workspace: str,
     time: float,
     number: int,
     documents: dict[tuple[str, int], list[tuple[int, int]]],
 ) -> Arrival:
     first = int(workspace.removeprefix("ws-")) * 1_000_000_000
-    prefix = [first + n for n in range(SYSTEM_BLOCKS)]
+    prefix = [first + n for n in range(SYSTEM_PROMPT_BLOCKS)]
     tail = first + 500_000_000 + number * 1000
     blocks = source.randint(*work.blocks)
     if work.documents:
@@ -224,38 +230,42 @@
 
 def _burst(seed: int) -> Load:
     def rate(time: float) -> float:
-        return CAPACITY * (3.0 if time % 30 > 24 else 0.6)
+        return CAPACITY_PER_SECOND * (3.0 if time % 30 > 24 else 0.6)
 
-    return Load(name="burst", arrivals=draw(seed, rate))
+    return Load(name="burst", arrivals=draw_arrivals(seed, rate))
 
 
 def _skew(seed: int) -> Load:
-    arrivals = draw(seed, lambda t: CAPACITY * 1.5, SKEWED_SHARE)
+    arrivals = draw_arrivals(
+        seed, lambda t: CAPACITY_PER_SECOND * 1.5, SKEWED_WORKSPACE_SHARES
+    )
     return Load(name="skew", arrivals=arrivals)
 
 
 def _slow_endpoint(seed: int) -> Load:
     return Load(
         name="slow_endpoint",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(Fault(time=15, kind="slow", target="engine-1", value=5),),
     )
 
 
 def _mixed_lengths(seed: int) -> Load:
-    arrivals = draw(seed, lambda t: CAPACITY * 0.6, mix=LONG_SHARE)
+    arrivals = draw_arrivals(
+        seed, lambda t: CAPACITY_PER_SECOND * 0.6, mix=LONG_WORK_MIX
+    )
     return Load(name="mixed_lengths", arrivals=arrivals)
 
 
 def _saturation(seed: int) -> Load:
-    arrivals = draw(seed, lambda t: CAPACITY * 2)
+    arrivals = draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 2)
     return Load(name="saturation", arrivals=arrivals)
 
 
 def _dc_leave_return(seed: int) -> Load:
     return Load(
         name="dc_leave_return",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(
             Fault(time=25, kind="dc_out", target="dc-2"),
             Fault(time=55, kind="dc_in", target="dc-2"),
@@ -276,7 +286,7 @@
     )
     return Load(
         name="cold_restart",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=faults,
     )
 
@@ -284,7 +294,7 @@
 def _stale_reports(seed: int) -> Load:
     return Load(
         name="stale_reports",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.8),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.8),
         faults=(
             Fault(time=30, kind="reports_off"),
             Fault(time=60, kind="reports_on"),
@@ -296,7 +306,7 @@
 def _platform_down(seed: int) -> Load:
     return Load(
         name="platform_down",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(
             Fault(time=15, kind="platform_down"),
             Fault(time=25, kind="dc_out", target="dc-2"),
@@ -310,7 +320,7 @@
 def _late_waker(seed: int) -> Load:
     return Load(
         name="late_waker",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(
             Fault(time=25, kind="freeze", target="entry-2", value=15),
             Fault(time=33, kind="cold", target="engine-0"),
@@ -333,12 +343,12 @@
 }
 
 
-def leave_out(load: Load, endpoint: str) -> Load:
+def remove_endpoint(load: Load, endpoint: str) -> Load:
     """Return the same load without one engine and without its faults."""
     return dataclasses.replace(load, faults=(), without=(endpoint,))
 
 
-def keep_small(load: Load) -> Load:
+def keep_small_workspaces(load: Load) -> Load:
     """Return what the small workspaces send, alone."""
     small = ("ws-2", "ws-3", "ws-4", "ws-5")
     kept = tuple(a for a in load.arrivals if a.request.workspace in small)
--- a/measures/decisions/site.py
+++ b/measures/decisions/site.py
@@ -10,16 +10,16 @@
 from measures.decisions import loads
 from measures.decisions import timeline
 
-START = -15.0
+START_SECONDS = -15.0
 """Engines and entries run for so long before the first request."""
 
-SETTLE = 80.0
+DRAIN_SECONDS = 80.0
 """Seconds after the last arrival, until each request must be settled."""
 
-HOP = 0.001
+HOP_SECONDS = 0.001
 """One way between two data centres, seconds."""
 
-REPORT_SECONDS = 0.5
+REPORT_INTERVAL_SECONDS = 0.5
 
 
 class Policy(Protocol):
@@ -57,7 +57,7 @@
 
     def __init__(self, load: loads.Load) -> None:
         self.load = load
-        self.clock = timeline.Timeline(START)
+        self.clock = timeline.Timeline(START_SECONDS)
         self.ledger = ledger.Ledger()
         endpoints = loads.make_endpoints()
         for name in load.without:
@@ -80,34 +80,42 @@
         self._policy = policy
         policy.publish(self.fleet)
         for name, each in self.engines.items():
-            each.broken = lambda name=name: self._tell_connection(name)
-            self.clock.after(HOP, self._tell_connection, name)
-        self.clock.after(0.0, self._sample)
+            each.on_connection_change = lambda name=name: (
+                self._announce_connection(name)
+            )
+            self.clock.call_later(HOP_SECONDS, self._announce_connection, name)
+        self.clock.call_later(0.0, self._send_reports)
         for arrival in self.load.arrivals:
-            self.clock.at(arrival.time, self._arrive, arrival)
+            self.clock.call_at(arrival.time, self._arrive, arrival)
         for fault in self.load.faults:
-            self.clock.at(fault.time, self._strike, fault)
-        self.clock.run(loads.SECONDS + SETTLE)
+            self.clock.call_at(fault.time, self._inject_fault, fault)
+        self.clock.run(loads.LOAD_SECONDS + DRAIN_SECONDS)
 
     def send(
         self,
         sender: str,
         request: models.Request,
         endpoint: str,
-        life: int,
-        give: collections.abc.Callable[[], None],
+        incarnation: int,
+        on_answer: collections.abc.Callable[[], None],
     ) -> None:
-        """Send a request on a connection to one life of an engine.
+        """Send a request on a connection to one incarnation of an engine.
 
         Args:
             sender: the instance that sends and is told what happens.
             request: the request.
             endpoint: the engine's name.
-            life: the life that the sender is connected to.
-            give: called when the whole answer has reached the sender.
+            incarnation: the incarnation that the sender is connected to.
+            on_answer: called when the whole answer has reached the sender.
         """
-        self.clock.after(
-            HOP, self._deliver, sender, request, endpoint, life, give
+        self.clock.call_later(
+            HOP_SECONDS,
+            self._deliver,
+            sender,
+            request,
+            endpoint,
+            incarnation,
+            on_answer,
         )
 
     def _deliver(
@@ -115,60 +123,64 @@
         sender: str,
         request: models.Request,
         endpoint: str,
-        life: int,
-        give: collections.abc.Callable[[], None],
+        incarnation: int,
+        on_answer: collections.abc.Callable[[], None],
     ) -> None:
         assert self._policy is not None
         policy = self._policy
         target = self.engines[endpoint]
         name = request.request_id
-        if not target.up or target.life != life:
-            self.clock.after(HOP, policy.fail, sender, name, False)
+        if not target.up or target.incarnation != incarnation:
+            self.clock.call_later(
+                HOP_SECONDS, policy.fail, sender, name, False
+            )
             return
         job = engine.Job(
             request=request,
             output_tokens=self.lengths[name],
-            first_token=lambda: self.clock.after(
-                HOP, self._give_first_token, sender, name
+            on_first_token=lambda: self.clock.call_later(
+                HOP_SECONDS, self._give_first_token, sender, name
+            ),
+            on_finished=lambda cached: self._finish(
+                sender, job, on_answer, cached
             ),
-            finished=lambda cached: self._finish(sender, job, give, cached),
-            cut=lambda: self._cut(sender, job),
+            on_cut=lambda: self._cut(sender, job),
         )
-        self.ledger.send(name)
+        self.ledger.record_send(name)
         target.receive(job)
 
     def cancel(self, endpoint: str, request_id: str) -> None:
         """Stop a request at an engine."""
-        self.clock.after(HOP, self._cancel, endpoint, request_id)
+        self.clock.call_later(HOP_SECONDS, self._cancel, endpoint, request_id)
 
     def refuse(self, request_id: str, code: errors.Code) -> None:
         """Give a caller its final refusal."""
-        self.ledger.refuse(request_id, code, self.clock.now)
+        self.ledger.record_refusal(request_id, code, self.clock.now)
 
     def _cancel(self, endpoint: str, request_id: str) -> None:
         job = self.engines[endpoint].jobs.get(request_id)
         if job is not None:
             self.engines[endpoint].cancel(request_id)
-            self.ledger.end(job, whole=False)
+            self.ledger.record_job_end(job, whole=False)
 
     def _give_first_token(self, sender: str, name: str) -> None:
         assert self._policy is not None
-        self.ledger.give_first_token(name, self.clock.now)
+        self.ledger.record_first_token(name, self.clock.now)
         self._policy.take_first_token(sender, name)
 
     def _finish(
         self,
         sender: str,
         job: engine.Job,
-        give: collections.abc.Callable[[], None],
+        on_answer: collections.abc.Callable[[], None],
         cached: int,
     ) -> None:
         assert self._policy is not None
         late = self.clock.now > job.request.deadline
-        self.ledger.end(job, whole=not late)
-        self.clock.after(HOP, give)
-        self.clock.after(
-            HOP,
+        self.ledger.record_job_end(job, whole=not late)
+        self.clock.call_later(HOP_SECONDS, on_answer)
+        self.clock.call_later(
+            HOP_SECONDS,
             self._policy.finish,
             sender,
             job.request.request_id,
@@ -178,9 +190,9 @@
 
     def _cut(self, sender: str, job: engine.Job) -> None:
         assert self._policy is not None
-        self.ledger.end(job, whole=False)
+        self.ledger.record_job_end(job, whole=False)
         name = job.request.request_id
-        self.clock.after(HOP, self._fail_sent, sender, name)
+        self.clock.call_later(HOP_SECONDS, self._fail_sent, sender, name)
 
     def _fail_sent(self, sender: str, name: str) -> None:
         assert self._policy is not None
@@ -188,26 +200,28 @@
 
     def _arrive(self, arrival: loads.Arrival) -> None:
         assert self._policy is not None
-        self.ledger.arrive(arrival.request, self.clock.now)
+        self.ledger.record_arrival(arrival.request, self.clock.now)
         self._policy.arrive(arrival)
 
-    def _tell_connection(self, name: str) -> None:
+    def _announce_connection(self, name: str) -> None:
         assert self._policy is not None
-        self.clock.after(HOP, self._connect, name, self.engines[name].up)
+        self.clock.call_later(
+            HOP_SECONDS, self._connect, name, self.engines[name].up
+        )
 
     def _connect(self, name: str, up: bool) -> None:
         assert self._policy is not None
         self._policy.connect(name, up=up)
 
-    def _sample(self) -> None:
+    def _send_reports(self) -> None:
         if self._reports_on:
             for name, each in self.engines.items():
                 if each.up:
-                    self.clock.after(
+                    self.clock.call_later(
                         self.load.report_lag, self._report, name, each.report()
                     )
-        if self.clock.now < loads.SECONDS + SETTLE:
-            self.clock.after(REPORT_SECONDS, self._sample)
+        if self.clock.now < loads.LOAD_SECONDS + DRAIN_SECONDS:
+            self.clock.call_later(REPORT_INTERVAL_SECONDS, self._send_reports)
 
     def _report(self, name: str, report: models.LoadReport) -> None:
         assert self._policy is not None
@@ -222,19 +236,19 @@
         )
         self._policy.report(name, late)
 
-    def _strike(self, fault: loads.Fault) -> None:
+    def _inject_fault(self, fault: loads.Fault) -> None:
         assert self._policy is not None
         match fault.kind:
             case "slow":
                 self.engines[fault.target].slow = fault.value
             case "cold":
-                self.engines[fault.target].turn_cold(restart=False)
+                self.engines[fault.target].enter_cold_start(restart=False)
             case "restart":
-                self.engines[fault.target].turn_cold(
+                self.engines[fault.target].enter_cold_start(
                     restart=True, down=fault.value
                 )
             case "dc_out" | "dc_in":
-                self._change_centre(fault)
+                self._change_data_centre(fault)
             case "reports_off" | "reports_on":
                 self._reports_on = fault.kind == "reports_on"
             case "platform_down" | "platform_up":
@@ -243,7 +257,7 @@
             case "freeze":
                 self._policy.freeze(fault.target, fault.value)
 
-    def _change_centre(self, fault: loads.Fault) -> None:
+    def _change_data_centre(self, fault: loads.Fault) -> None:
         out = fault.target if fault.kind == "dc_out" else ""
         self.fleet = loads.make_fleet(
             self.fleet.endpoints, self.fleet.version + 1, out
@@ -252,10 +266,10 @@
             # A data centre comes back with its engines started anew.
             for name, endpoint in self.fleet.endpoints.items():
                 if endpoint.data_centre == fault.target:
-                    self.engines[name].turn_cold(restart=True, down=0.1)
+                    self.engines[name].enter_cold_start(restart=True, down=0.1)
         self._publish()
 
     def _publish(self) -> None:
         assert self._policy is not None
         if self._platform_on:
-            self.clock.after(0.5, self._policy.publish, self.fleet)
+            self.clock.call_later(0.5, self._policy.publish, self.fleet)
--- a/measures/decisions/timeline.py
+++ b/measures/decisions/timeline.py
@@ -12,20 +12,20 @@
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
         self._due: list[tuple] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
-    def at(
+    def call_at(
         self, time: float, call: collections.abc.Callable, *args: Any
     ) -> None:
         """Have a call made at a time, not before now."""
         due = max(time, self.now)
-        heapq.heappush(self._due, (due, next(self._numbers), call, args))
+        heapq.heappush(self._due, (due, next(self._sequence), call, args))
 
-    def after(
+    def call_later(
         self, delay: float, call: collections.abc.Callable, *args: Any
     ) -> None:
         """Have a call made some seconds from now."""
-        self.at(self.now + delay, call, *args)
+        self.call_at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
         """Make all calls that are due until a time."""
--- a/measures/scale/__init__.py
+++ b/measures/scale/__init__.py
@@ -9,9 +9,9 @@
 from measures.decisions import loads
 
 SIZES = (10, 100, 1000, 5100)
-PER_INSTANCE = 10
-REQUESTS = 3000
-SPACING = 0.25
+ENDPOINTS_PER_INSTANCE = 10
+REQUEST_COUNT = 3000
+REQUEST_INTERVAL_SECONDS = 0.25
 """Seconds between two requests; each has its own time before its deadline."""
 
 
@@ -36,11 +36,11 @@
 
 def measure(size: int) -> dict[str, float]:
     """Return processor time for each kind of event in a fleet."""
-    instances = max(1, size // PER_INSTANCE)
+    instances = max(1, size // ENDPOINTS_PER_INSTANCE)
     fleet, owners = _make_fleet(size, instances)
     scheduler = core.Scheduler("entry-0")
     owned = frozenset(e for e, o in owners.items() if o == "entry-0")
-    change = _time(
+    change_seconds = _time_events(
         [
             models.FleetChanged(fleet=fleet),
             models.OwnershipChanged(owned=owned, owners=owners),
@@ -53,11 +53,11 @@
         report = models.LoadReport(running=0, queued=0, cold=False, age=0.1)
         event = models.EndpointReported(endpoint=name, report=report)
         scheduler.handle(event, 1.0)
-    told = _time(_make_summaries(instances), scheduler, 1.0)
-    arrivals = loads.draw(1, lambda t: 200.0)[:REQUESTS]
+    summary_seconds = _time_events(_make_summaries(instances), scheduler, 1.0)
+    arrivals = loads.draw_arrivals(1, lambda t: 200.0)[:REQUEST_COUNT]
     began = time.process_time()
     for number, arrival in enumerate(arrivals):
-        now = 1.0 + number * SPACING
+        now = 1.0 + number * REQUEST_INTERVAL_SECONDS
         request = dataclasses.replace(arrival.request, deadline=now + 60.0)
         event = models.RequestArrived(request=request)
         scheduler.handle(event, now)
@@ -67,17 +67,17 @@
         scheduler.handle(done, now + 0.1)
         if number % 10 == 0:
             scheduler.handle(models.TimePassed(), now + 0.1)
-    decided = time.process_time() - began
+    decision_seconds = time.process_time() - began
     return {
         "endpoints": size,
         "instances": instances,
-        "decision_us": 1e6 * decided / len(arrivals),
-        "summary_us": 1e6 * told / max(1, instances - 1),
-        "change_ms": 1e3 * change,
+        "decision_us": 1e6 * decision_seconds / len(arrivals),
+        "summary_us": 1e6 * summary_seconds / max(1, instances - 1),
+        "change_ms": 1e3 * change_seconds,
     }
 
 
-def _time(
+def _time_events(
     events: list[models.Event], scheduler: core.Scheduler, now: float
 ) -> float:
     began = time.process_time()
--- a/tests/scheduler/test_decisions.py
+++ b/tests/scheduler/test_decisions.py
@@ -225,11 +225,13 @@
 
     def run_load(self, rate, faults=(), **options):
         """Return the figures of a load that lasts twenty seconds."""
-        arrivals = loads.draw(7, lambda t: rate, seconds=20.0, **options)
+        arrivals = loads.draw_arrivals(
+            7, lambda t: rate, seconds=20.0, **options
+        )
         load = loads.Load(name="test", arrivals=arrivals, faults=faults)
         site = site_module.Site(load)
         site.run(instances.Instances(site, core.Scheduler))
-        figures = site.ledger.sum_up()
+        figures = site.ledger.summarize()
         overloads = sum(e.overloads for e in site.engines.values())
         self.assertEqual(0, overloads)
         self.assertEqual(0, figures["doubled"])
@@ -243,7 +245,7 @@
 
     def test_top_tier_through_saturation(self):
         """The top tier is answered in time at twice the capacity."""
-        figures = self.run_load(loads.CAPACITY * 2)
+        figures = self.run_load(loads.CAPACITY_PER_SECOND * 2)
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
     def test_top_tier_through_a_data_centre_change(self):
@@ -252,7 +254,7 @@
             loads.Fault(time=5, kind="dc_out", target="dc-2"),
             loads.Fault(time=10, kind="dc_in", target="dc-2"),
         )
-        figures = self.run_load(loads.CAPACITY * 0.6, faults)
+        figures = self.run_load(loads.CAPACITY_PER_SECOND * 0.6, faults)
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
 
     def test_restart_without_warning(self):
@@ -261,9 +263,11 @@
             loads.Fault(time=3 + n, kind=kind, target=f"engine-{n}", value=1)
             for n, kind in enumerate(("restart", "cold") * 5)
         )
-        self.run_load(loads.CAPACITY * 0.6, faults)
+        self.run_load(loads.CAPACITY_PER_SECOND * 0.6, faults)
 
     def test_long_requests_do_not_delay_short_ones(self):
         """Status reads are not delayed by a fifth of long reviews."""
-        figures = self.run_load(loads.CAPACITY * 0.6, mix=loads.LONG_SHARE)
+        figures = self.run_load(
+            loads.CAPACITY_PER_SECOND * 0.6, mix=loads.LONG_WORK_MIX
+        )
         self.assertGreaterEqual(self.get_goodput_fraction(figures, 0), 0.99)
