--- a/measures/capacity/__init__.py
+++ b/measures/capacity/__init__.py
@@ -31,7 +31,7 @@
     single = {**catalogue.compare_updates(), **messages.count_hops()}
     for name, value in single.items():
         print(f"{name}: {value}")
-    totals = aims.total(fitted, single)
+    totals = aims.compute_totals(fitted, single)
     for line in aims.describe(totals):
         print(line)
     if json:
--- a/measures/capacity/aims.py
+++ b/measures/capacity/aims.py
@@ -10,43 +10,49 @@
 READERS = 19 * catalogue_const.READERS_PER_DATA_CENTRE
 
 
-def total(
+def compute_totals(
     fits: list[slopes.Fit], single: dict[str, float]
 ) -> dict[str, float]:
     """Return the figures of one instance, and of the platform, at size."""
-    at = {one.series.name: one.at_aim for one in fits}
-    pace = 1 / instance_const.RING_REPORT_INTERVAL_SECONDS
-    links = at["links of an instance"]
-    reports = links * pace * at["report, bytes"]
-    change = at["one change to a peer, bytes"]
-    spread = CHANGES_PER_SECOND * change
+    figures = {one.series.name: one.at_aim for one in fits}
+    report_rate = 1 / instance_const.RING_REPORT_INTERVAL_SECONDS
+    links = figures["links of an instance"]
+    reports = links * report_rate * figures["report, bytes"]
+    change = figures["one change to a peer, bytes"]
+    change_bytes_per_second = CHANGES_PER_SECOND * change
     cpu = (
-        links * pace * at["report made and read, s"]
+        links * report_rate * figures["report made and read, s"]
         + CHANGES_PER_SECOND
-        * (at["one change taken, s"] + at["scheduler told of a change, s"])
-        + LIST_CHANGES_PER_SECOND * at["instance gone, owners ranked, s"]
+        * (
+            figures["one change taken, s"]
+            + figures["scheduler told of a change, s"]
+        )
+        + LIST_CHANGES_PER_SECOND * figures["instance gone, owners ranked, s"]
     )
     watches = INSTANCES / catalogue_const.INSTANCE_LIST_WATCH_SECONDS
-    asks = (INSTANCES - READERS) / catalogue_const.FALLBACK_POLL_SECONDS
+    polls = (INSTANCES - READERS) / catalogue_const.FALLBACK_POLL_SECONDS
     return {
         "reports, KB/s sent and received": reports / 1000,
-        "changes, KB/s": spread / 1000,
+        "changes, KB/s": change_bytes_per_second / 1000,
         "reader: whole values, KB/s": CHANGES_PER_SECOND
-        * at["catalogue, bytes of JSON"]
+        * figures["catalogue, bytes of JSON"]
         / 1000,
         "control, share of a core": cpu,
         "reader: share of a core": cpu
-        + CHANGES_PER_SECOND * at["whole JSON taken, s"],
-        "control state, MB": at["control state, MB"],
+        + CHANGES_PER_SECOND * figures["whole JSON taken, s"],
+        "control state, MB": figures["control state, MB"],
         "platform reads, 1/s": watches
-        + asks
+        + polls
         + READERS
         * (1 / catalogue_const.CATALOGUE_WATCH_SECONDS + CHANGES_PER_SECOND),
         "platform reads in an outage, 1/s": INSTANCES
         * 2
         / (0.75 * catalogue_const.MAX_RETRY_SECONDS),
         "change in force at all, s": single["hops to reach 510 instances"]
-        * (at["one change taken, s"] + at["scheduler told of a change, s"]),
+        * (
+            figures["one change taken, s"]
+            + figures["scheduler told of a change, s"]
+        ),
     }
 
 
--- a/measures/capacity/catalogue.py
+++ b/measures/capacity/catalogue.py
@@ -21,7 +21,7 @@
 from measures.capacity import slopes
 
 SIZES = (600, 1500, 3000, 5100)
-AIM = 5100
+TARGET_ENDPOINTS = 5100
 ENTRIES = 740
 DATA_CENTRES = 19
 INSTANCES = 510
@@ -43,7 +43,7 @@
                 "key_sha256": f"{n:064x}",
                 "limits": {"concurrency": 40},
             }
-            for n in range(ENTRIES * endpoints // AIM)
+            for n in range(ENTRIES * endpoints // TARGET_ENDPOINTS)
         ],
     }
 
@@ -89,7 +89,7 @@
             by="endpoints",
             sizes=list(SIZES),
             values=[row[name] for row in rows],
-            aim=AIM,
+            aim=TARGET_ENDPOINTS,
         )
         for name in rows[0]
     ]
@@ -101,8 +101,8 @@
     as_yaml = yaml.safe_dump(first)
     as_json = json.dumps(first)
     row = {"catalogue, bytes of JSON": float(len(as_json))}
-    row["whole YAML taken, s"] = _time_offer(publish(first, as_yaml))
-    row["whole JSON taken, s"] = _time_offer(publish(first, as_json))
+    row["whole YAML taken, s"] = _time_apply(publish(first, as_yaml))
+    row["whole JSON taken, s"] = _time_apply(publish(first, as_json))
     holder = store.Store()
     holder.apply(publish(first))
     peer = store.Store()
@@ -119,7 +119,7 @@
     return row
 
 
-def _time_offer(published: client.Published) -> float:
+def _time_apply(published: client.Published) -> float:
     began = time.process_time()
     store.Store().apply(published)
     return time.process_time() - began
@@ -144,7 +144,7 @@
     assert holder.fleet is not None
     scheduler.handle(models.FleetChanged(fleet=holder.fleet), 0.0)
     scheduler.handle(owners.get_ownership(1.0), 1.0)
-    told = time.process_time() - began
+    first_fleet_seconds = time.process_time() - began
     fleet = dataclasses.replace(
         holder.fleet,
         version=holder.fleet.version + 1,
@@ -155,7 +155,7 @@
     return {
         "owners ranked at a start, s": start,
         "instance gone, owners ranked, s": change_seconds,
-        "scheduler told of its first fleet, s": told,
+        "scheduler told of its first fleet, s": first_fleet_seconds,
         "scheduler told of a change, s": time.process_time() - began,
     }
 
@@ -206,14 +206,14 @@
 
 def compare_updates() -> dict[str, float]:
     """Compare whole value, differences and a set-difference sketch."""
-    first = make_document(AIM)
+    first = make_document(TARGET_ENDPOINTS)
     found: dict[str, float] = {}
     for changes in (1, 12, 288):
         second = change(first, changes)
         one = delta.make_delta(first, change(first, 1), 1, 2)
         chain = len(encode(one)) * changes
         began = time.process_time()
-        size, rest = sketch.exchange(first, second)
+        size, rest = sketch.reconcile(first, second)
         seconds = time.process_time() - began
         assert rest == 2 * changes
         found[f"{changes} changes, whole value, bytes"] = len(
--- a/measures/capacity/daemons.py
+++ b/measures/capacity/daemons.py
@@ -12,19 +12,19 @@
 from standins import fleet
 from standins import processes
 
-COUNTS = (2, 4, 8, 16)
-ENGINES = 2
+INSTANCE_COUNTS = (2, 4, 8, 16)
+ENGINE_COUNT = 2
 SETTLE_SECONDS = 6.0
 
 
 def measure(seconds: float, subnet: str) -> list[slopes.Series]:
     """Return the series by the number of instances."""
-    rows = [_measure_one(count, seconds, subnet) for count in COUNTS]
+    rows = [_measure_one(count, seconds, subnet) for count in INSTANCE_COUNTS]
     return [
         slopes.Series(
             name=name,
             by="instances, real processes at rest",
-            sizes=list(COUNTS),
+            sizes=list(INSTANCE_COUNTS),
             values=[row[name] for row in rows],
             aim=16,
         )
@@ -39,7 +39,7 @@
         instances=count,
         engines=tuple(
             {"name": f"engine-{n}", "models": ("small",)}
-            for n in range(ENGINES)
+            for n in range(ENGINE_COUNT)
         ),
         services=(),
         entries=(
@@ -54,15 +54,23 @@
         started = fleet.Fleet(layout, running)
         started.start()
         time.sleep(SETTLE_SECONDS)
-        return _watch(started, seconds)
+        return _measure_idle(started, seconds)
 
 
-def _watch(started: fleet.Fleet, seconds: float) -> dict[str, float]:
+def _measure_idle(started: fleet.Fleet, seconds: float) -> dict[str, float]:
     names = [i["name"] for i in started.instances]
     ids = [started.running.get_pid(name) for name in names]
-    before = (_sum_cpu(ids), _read_reads(started), _read_bytes())
+    before = (
+        _sum_cpu(ids),
+        _read_platform_reads(started),
+        _read_loopback_bytes(),
+    )
     time.sleep(seconds)
-    after = (_sum_cpu(ids), _read_reads(started), _read_bytes())
+    after = (
+        _sum_cpu(ids),
+        _read_platform_reads(started),
+        _read_loopback_bytes(),
+    )
     count = len(ids)
     spent = after[0] - before[0]
     return {
@@ -89,14 +97,14 @@
     return 0.0
 
 
-def _read_bytes() -> int:
+def _read_loopback_bytes() -> int:
     for line in pathlib.Path("/proc/net/dev").open():
         if line.strip().startswith("lo:"):
             return int(line.split(":")[1].split()[0])
     return 0
 
 
-def _read_reads(started: fleet.Fleet) -> int:
+def _read_platform_reads(started: fleet.Fleet) -> int:
     client = geventhttpclient.HTTPClient(started.platform, fleet.PLATFORM_PORT)
     body = client.post("/admin/mode?mode=up", "").read()
     client.close()
--- a/measures/capacity/messages.py
+++ b/measures/capacity/messages.py
@@ -9,12 +9,12 @@
 from citronport.scheduler import models
 from measures.capacity import slopes
 
-USERS = (0, 50, 100, 200)
-AIM_USERS = 80
+ENTRY_COUNTS = (0, 50, 100, 200)
+TARGET_ENTRY_COUNT = 80
 """Entries with work at one instance: 740 workspaces, spread by the lookup
 over a few instances each."""
 
-FLEETS = (24, 64, 170, 510)
+FLEET_SIZES = (24, 64, 170, 510)
 ROUNDS = 300
 
 
@@ -43,28 +43,28 @@
 
 def measure() -> list[slopes.Series]:
     """Return the series by active entries and by instances."""
-    sizes = [len(messages.encode(make_report(n))) for n in USERS]
-    costs = [_time_report(n) for n in USERS]
-    links = [_count_links(n) for n in FLEETS]
+    sizes = [len(messages.encode(make_report(n))) for n in ENTRY_COUNTS]
+    costs = [_time_report(n) for n in ENTRY_COUNTS]
+    links = [_count_links(n) for n in FLEET_SIZES]
     return [
         slopes.Series(
             name="report, bytes",
             by="entries with work",
-            sizes=list(USERS),
+            sizes=list(ENTRY_COUNTS),
             values=[float(size) for size in sizes],
-            aim=AIM_USERS,
+            aim=TARGET_ENTRY_COUNT,
         ),
         slopes.Series(
             name="report made and read, s",
             by="entries with work",
-            sizes=list(USERS),
+            sizes=list(ENTRY_COUNTS),
             values=costs,
-            aim=AIM_USERS,
+            aim=TARGET_ENTRY_COUNT,
         ),
         slopes.Series(
             name="links of an instance",
             by="instances (grows with the logarithm)",
-            sizes=list(FLEETS),
+            sizes=list(FLEET_SIZES),
             values=links,
             aim=510,
         ),
--- a/measures/capacity/sketch.py
+++ b/measures/capacity/sketch.py
@@ -14,19 +14,21 @@
 CELL_BYTES = 4 + 8 + 8
 """Count, sum of keys, sum of check hashes."""
 
-ROOM = 1.7
+CELLS_PER_DIFFERENCE = 1.7
 """Cells for each difference; with fewer than about 1.5 it does not decode."""
 
 
-def exchange(old: dict[str, Any], new: dict[str, Any]) -> tuple[int, int]:
+def reconcile(old: dict[str, Any], new: dict[str, Any]) -> tuple[int, int]:
     """Reconcile two documents; return bytes sent and items that differ."""
     mine = _hash_items(old)
     theirs = _hash_items(new)
-    cells = max(24, int(ROOM * len(mine.keys() ^ theirs.keys())))
+    cells = max(
+        24, int(CELLS_PER_DIFFERENCE * len(mine.keys() ^ theirs.keys()))
+    )
     found = None
     while found is None:
         table = _make_table(mine, cells)
-        _take_off(table, theirs)
+        _subtract(table, theirs)
         found = _decode(table)
         cells *= 2
     items = sum(len(theirs[key]) for key in found if key in theirs)
@@ -51,24 +53,24 @@
     ]
 
 
-def _check(key: int) -> int:
+def _compute_check_hash(key: int) -> int:
     return xxhash.xxh3_64_intdigest(key.to_bytes(8, "big"), seed=99)
 
 
 def _make_table(items: dict[int, str], cells: int) -> list[list[int]]:
     table = [[0, 0, 0] for _ in range(cells)]
     for key in items:
-        _put(table, key, 1)
+        _add_to_cells(table, key, 1)
     return table
 
 
-def _take_off(table: list[list[int]], items: dict[int, str]) -> None:
+def _subtract(table: list[list[int]], items: dict[int, str]) -> None:
     for key in items:
-        _put(table, key, -1)
+        _add_to_cells(table, key, -1)
 
 
-def _put(table: list[list[int]], key: int, sign: int) -> None:
-    check = _check(key)
+def _add_to_cells(table: list[list[int]], key: int, sign: int) -> None:
+    check = _compute_check_hash(key)
     for place in _find_cells(key, len(table)):
         cell = table[place]
         cell[0] += sign
@@ -80,14 +82,18 @@
     found: set[int] = set()
     while True:
         pure = next(
-            (c for c in table if abs(c[0]) == 1 and c[2] == _check(c[1])),
+            (
+                c
+                for c in table
+                if abs(c[0]) == 1 and c[2] == _compute_check_hash(c[1])
+            ),
             None,
         )
         if pure is None:
             break
         key, sign = pure[1], pure[0]
         found.add(key)
-        _put(table, key, -sign)
+        _add_to_cells(table, key, -sign)
     if any(cell != [0, 0, 0] for cell in table):
         return None
     return found
--- a/measures/capacity/slopes.py
+++ b/measures/capacity/slopes.py
@@ -47,13 +47,15 @@
 def fit(series: Series) -> Fit:
     """Return the straight line that fits a series best."""
     slope, base = numpy.polyfit(series.sizes, series.values, 1)
-    lines = [base + slope * size for size in series.sizes]
-    gaps = [abs(a - b) for a, b in zip(lines, series.values, strict=True)]
+    fitted = [base + slope * size for size in series.sizes]
+    residuals = [
+        abs(a - b) for a, b in zip(fitted, series.values, strict=True)
+    ]
     return Fit(
         series=series,
         slope=float(slope),
         base=float(base),
-        error=float(max(gaps) / max(max(series.values), 1e-12)),
+        error=float(max(residuals) / max(max(series.values), 1e-12)),
         at_aim=float(base + slope * series.aim),
     )
 
--- a/measures/capacity/traffic.py
+++ b/measures/capacity/traffic.py
@@ -11,8 +11,8 @@
 CONNECTIONS = (1, 2, 4, 8)
 STREAMS = (25, 50, 100, 150)
 TOKENS = 200
-AIM_REQUESTS = 48_000 / 510
-AIM_TOKENS = 17_000_000 / 510
+TARGET_REQUESTS_PER_SECOND = 48_000 / 510
+TARGET_TOKENS_PER_SECOND = 17_000_000 / 510
 
 
 def measure(seconds: float, subnet: str) -> list[slopes.Series]:
@@ -21,38 +21,43 @@
         tempfile.TemporaryDirectory() as folder,
         processes.Processes(pathlib.Path(folder)) as running,
     ):
-        bench = path.Bench(running, subnet, 1)
-        bench.start()
-        addresses = tuple(bench.fleet.get_callers_addresses())
-        way = path.Way(
+        testbed = path.Testbed(running, subnet, 1)
+        testbed.start()
+        addresses = tuple(testbed.fleet.get_callers_addresses())
+        request_path = path.RequestPath(
             name="entry",
             target=path.make_target(addresses, "any"),
             processes=("entry-1",),
         )
-        bench.warm_up(way)
-        calls = [_call(bench, way, n, seconds / 2) for n in CONNECTIONS]
-        streams = [_stream(bench, way, n) for n in STREAMS]
+        testbed.warm_up(request_path)
+        calls = [
+            _call(testbed, request_path, n, seconds / 2) for n in CONNECTIONS
+        ]
+        streams = [_stream(testbed, request_path, n) for n in STREAMS]
     return [
-        _make_series("requests a second", calls, AIM_REQUESTS),
-        _make_series("tokens a second", streams, AIM_TOKENS),
+        _make_series("requests a second", calls, TARGET_REQUESTS_PER_SECOND),
+        _make_series("tokens a second", streams, TARGET_TOKENS_PER_SECOND),
     ]
 
 
 def _call(
-    bench: path.Bench, way: path.Way, connections: int, seconds: float
+    testbed: path.Testbed,
+    request_path: path.RequestPath,
+    connections: int,
+    seconds: float,
 ) -> tuple[float, float]:
-    before = bench.read_cpu(way)
-    rate = path_load.call_in_loop(way.target, connections, seconds)
-    spent = bench.read_cpu(way) - before
+    before = testbed.read_cpu(request_path)
+    rate = path_load.run_closed_loop(request_path.target, connections, seconds)
+    spent = testbed.read_cpu(request_path) - before
     return rate.count / rate.seconds, spent / rate.seconds
 
 
 def _stream(
-    bench: path.Bench, way: path.Way, streams: int
+    testbed: path.Testbed, request_path: path.RequestPath, streams: int
 ) -> tuple[float, float]:
-    before = bench.read_cpu(way)
-    rate = path_load.read_streams(way.target, streams, TOKENS)
-    spent = bench.read_cpu(way) - before
+    before = testbed.read_cpu(request_path)
+    rate = path_load.read_streams(request_path.target, streams, TOKENS)
+    spent = testbed.read_cpu(request_path) - before
     return rate.count / rate.seconds, spent / rate.seconds
 
 
--- a/measures/path.py
+++ b/measures/path.py
@@ -12,15 +12,15 @@
 from standins import processes
 
 ENGINES = 4
-BATCH = 512
+ENDPOINT_CONCURRENCY = 512
 """More than the connections: the measure is of cost, not of queues."""
 
 CONNECTIONS = 32
-WARM_SECONDS = 2.0
-WARM_ROUNDS = 15
-PAUSE_SECONDS = 0.02
+WARM_UP_SECONDS = 2.0
+WARM_UP_ROUNDS = 15
+TOKEN_INTERVAL_SECONDS = 0.02
 RELAY = "relay"
-KEY = "measure-key"
+WORKSPACE_KEY = "measure-key"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Way:
+class RequestPath:
     """One way to measure.
 
     Attributes:
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Size:
+class LoadSize:
     """How much load is put on each way."""
 
     seconds: float
@@ -73,7 +73,7 @@
     tokens: int
 
 
-class Bench:
+class Testbed:
     """The processes of the measure; one entry owns all, or two share."""
 
     def __init__(
@@ -93,7 +93,7 @@
                 "path_endpoint",
                 endpoint["address"],
                 str(fleet.ENDPOINT_PORT),
-                str(PAUSE_SECONDS),
+                str(TOKEN_INTERVAL_SECONDS),
             )
         for instance in self.fleet.instances:
             self.fleet.start_instance(instance["name"])
@@ -111,42 +111,46 @@
             "path_relay",
             host,
             port,
-            "+".join(self.get_endpoints()),
-            str(BATCH),
+            "+".join(self.get_endpoint_addresses()),
+            str(ENDPOINT_CONCURRENCY),
         )
         processes.wait_for_port(host, int(port))
 
-    def get_endpoints(self) -> tuple[str, ...]:
+    def get_endpoint_addresses(self) -> tuple[str, ...]:
         """Return the endpoints' addresses."""
         return tuple(
             f"{e['address']}:{fleet.ENDPOINT_PORT}"
             for e in self.fleet.endpoints
         )
 
-    def warm_up(self, way: Way) -> None:
+    def warm_up(self, request_path: RequestPath) -> None:
         """Send calls until none is refused: all endpoints are warm.
 
         Raises:
             TimeoutError: some still are after a while.
         """
-        for _ in range(WARM_ROUNDS):
-            rate = path_load.call_in_loop(
-                way.target, CONNECTIONS, WARM_SECONDS
+        for _ in range(WARM_UP_ROUNDS):
+            rate = path_load.run_closed_loop(
+                request_path.target, CONNECTIONS, WARM_UP_SECONDS
             )
             if rate.count and not rate.failed:
                 return
-        raise TimeoutError(f"{way.name} goes on refusing calls")
+        raise TimeoutError(f"{request_path.name} goes on refusing calls")
 
-    def measure(self, way: Way, size: Size) -> Figure:
+    def measure(self, request_path: RequestPath, size: LoadSize) -> Figure:
         """Put the load on a way and return its cost."""
-        self.warm_up(way)
-        before = self.read_cpu(way)
-        calls = path_load.call_in_loop(way.target, CONNECTIONS, size.seconds)
-        between = self.read_cpu(way)
-        streams = path_load.read_streams(way.target, size.streams, size.tokens)
-        after = self.read_cpu(way)
+        self.warm_up(request_path)
+        before = self.read_cpu(request_path)
+        calls = path_load.run_closed_loop(
+            request_path.target, CONNECTIONS, size.seconds
+        )
+        between = self.read_cpu(request_path)
+        streams = path_load.read_streams(
+            request_path.target, size.streams, size.tokens
+        )
+        after = self.read_cpu(request_path)
         return Figure(
-            way=way.name,
+            way=request_path.name,
             requests_per_second=round(calls.count / calls.seconds, 1),
             cpu_seconds_per_request=(between - before) / max(1, calls.count),
             tokens_per_second=round(streams.count / streams.seconds, 1),
@@ -156,9 +160,9 @@
             failed=calls.failed + streams.failed,
         )
 
-    def read_cpu(self, way: Way) -> float:
+    def read_cpu(self, request_path: RequestPath) -> float:
         """Return the processor time of a way's processes, seconds."""
-        pids = [self.running.get_pid(name) for name in way.processes]
+        pids = [self.running.get_pid(name) for name in request_path.processes]
         return sum(read_cpu(pid) for pid in pids)
 
 
@@ -177,15 +181,20 @@
         {
             "name": f"engine-{n}",
             "models": ("any", f"only-{n}"),
-            "batch": BATCH,
-            "cold_concurrency": BATCH,
+            "batch": ENDPOINT_CONCURRENCY,
+            "cold_concurrency": ENDPOINT_CONCURRENCY,
             "cold_prompt_tokens": 10_000_000,
             "prefill_rate": 10_000_000.0,
             "decode_rate": 10_000.0,
         }
         for n in range(ENGINES)
     )
-    entry = {"name": "measure", "owner": "measure", "class": 0, "key": KEY}
+    entry = {
+        "name": "measure",
+        "owner": "measure",
+        "class": 0,
+        "key": WORKSPACE_KEY,
+    }
     return fleet.Layout(
         subnet=subnet,
         data_centres=("dc-1",),
@@ -199,54 +208,56 @@
 
 def make_target(addresses: tuple[str, ...], model: str) -> path_load.Target:
     """Return a target that the bench's key opens."""
-    return path_load.Target(addresses=addresses, model=model, key=KEY)
+    return path_load.Target(
+        addresses=addresses, model=model, key=WORKSPACE_KEY
+    )
 
 
 def _measure_one_entry(
-    folder: pathlib.Path, subnet: str, size: Size
+    folder: pathlib.Path, subnet: str, size: LoadSize
 ) -> list[Figure]:
     with processes.Processes(folder) as running:
-        bench = Bench(running, subnet, 1)
-        bench.start()
-        bench.start_relay()
-        endpoints = bench.get_endpoints()
-        names = tuple(e["name"] for e in bench.fleet.endpoints)
-        entries = tuple(bench.fleet.get_callers_addresses())
-        ways = (
-            Way(
+        testbed = Testbed(running, subnet, 1)
+        testbed.start()
+        testbed.start_relay()
+        endpoints = testbed.get_endpoint_addresses()
+        names = tuple(e["name"] for e in testbed.fleet.endpoints)
+        entries = tuple(testbed.fleet.get_callers_addresses())
+        request_paths = (
+            RequestPath(
                 name="direct",
                 target=make_target(endpoints, "any"),
                 processes=names,
             ),
-            Way(
+            RequestPath(
                 name="relay",
-                target=make_target((bench.relay,), "any"),
+                target=make_target((testbed.relay,), "any"),
                 processes=(RELAY,),
             ),
-            Way(
+            RequestPath(
                 name="entry",
                 target=make_target(entries, "any"),
                 processes=("entry-1",),
             ),
         )
-        return [bench.measure(way, size) for way in ways]
+        return [testbed.measure(each, size) for each in request_paths]
 
 
 def _measure_forward(
-    folder: pathlib.Path, subnet: str, size: Size
+    folder: pathlib.Path, subnet: str, size: LoadSize
 ) -> list[Figure]:
     with processes.Processes(folder) as running:
-        bench = Bench(running, subnet, 2)
-        bench.start()
-        names = [i["name"] for i in bench.fleet.instances]
+        testbed = Testbed(running, subnet, 2)
+        testbed.start()
+        names = [i["name"] for i in testbed.fleet.instances]
         owner = ownership.rank_instances("engine-0", names)[0]
-        other = bench.fleet.get_callers_addresses()[1 - names.index(owner)]
-        way = Way(
+        other = testbed.fleet.get_callers_addresses()[1 - names.index(owner)]
+        request_path = RequestPath(
             name="forward",
             target=make_target((other,), "only-0"),
             processes=tuple(names),
         )
-        return [bench.measure(way, size)]
+        return [testbed.measure(request_path, size)]
 
 
 def run(
@@ -265,7 +276,7 @@
         streams: streams side by side on each way.
         tokens: tokens of each stream.
     """
-    size = Size(seconds=seconds, streams=streams, tokens=tokens)
+    size = LoadSize(seconds=seconds, streams=streams, tokens=tokens)
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         figures = _measure_one_entry(folder, str(subnet), size)
--- a/measures/path_load.py
+++ b/measures/path_load.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Rate:
+class LoadResult:
     """What a load reached.
 
     Attributes:
@@ -49,7 +49,9 @@
     p95_first: float = 0.0
 
 
-def call_in_loop(target: Target, connections: int, seconds: float) -> Rate:
+def run_closed_loop(
+    target: Target, connections: int, seconds: float
+) -> LoadResult:
     """Send whole calls on kept connections, each after the last answer."""
     payload = _make_payload(target, stream=False, tokens=16)
     start = time.monotonic()
@@ -60,14 +62,14 @@
     ]
     gevent.joinall(tasks)
     counts = [task.get() for task in tasks]
-    return Rate(
+    return LoadResult(
         count=sum(done for done, _ in counts),
         failed=sum(failed for _, failed in counts),
         seconds=time.monotonic() - start,
     )
 
 
-def read_streams(target: Target, streams: int, tokens: int) -> Rate:
+def read_streams(target: Target, streams: int, tokens: int) -> LoadResult:
     """Read streams side by side to their ends."""
     payload = _make_payload(target, stream=True, tokens=tokens)
     start = time.monotonic()
@@ -77,7 +79,7 @@
     ]
     gevent.joinall(tasks)
     whole = [task.get() for task in tasks if task.get()]
-    return Rate(
+    return LoadResult(
         count=len(whole) * tokens,
         failed=streams - len(whole),
         seconds=time.monotonic() - start,
