--- a/measures/losses.py
+++ b/measures/losses.py
@@ -22,12 +22,14 @@
 """Share of the objective from which on a wait here, and not the endpoint,
 made an answer late."""
 
-UNSEEN = "no line of an instance tells why"
+UNEXPLAINED = "no line of an instance tells why"
 
-PREPAID = "cost of running: machines, processor, memory, links, store"
+RUNNING_COST_LABEL = (
+    "cost of running: machines, processor, memory, links, store"
+)
 """Prices of what is in use, whatever becomes of the requests."""
 
-RUNNING_COSTS = frozenset(
+RUNNING_COST_PRICES = frozenset(
     {
         "machine-seconds",
         "processor seconds",
@@ -45,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Kind:
+class RequestKind:
     """A kind of request, as the sheet tells it.
 
     Attributes:
@@ -65,7 +67,7 @@
     late_worth: float
 
 
-REPEATS = {
+REPEAT_BY_SHEET_KIND = {
     "stream": "stream",
     "unsafe": "non-idempotent",
     "safe": "idempotent",
@@ -73,12 +75,12 @@
 """The sheet's words for what may be sent twice."""
 
 
-def read_kinds(sheet: dict[str, Any]) -> list[Kind]:
+def read_kinds(sheet: dict[str, Any]) -> list[RequestKind]:
     """Return the kinds of request of a sheet."""
     return [
-        Kind(
+        RequestKind(
             name=row["name"],
-            repeat=REPEATS[row["kind"]],
+            repeat=REPEAT_BY_SHEET_KIND[row["kind"]],
             objective=row["aim_ms"] / 1000,
             prompt=row.get("stream", {})
             .get("prompt_tokens", {})
@@ -103,9 +105,9 @@
             continue
 
 
-def find_routes(
-    lines: list[dict[str, Any]], kinds: list[Kind]
-) -> dict[str, Kind]:
+def match_routes(
+    lines: list[dict[str, Any]], kinds: list[RequestKind]
+) -> dict[str, RequestKind]:
     """Return the kind of request that each route carries.
 
     Names of routes are new each day: a route is known by what may be
@@ -141,7 +143,7 @@
     return found
 
 
-def name_reason(line: dict[str, Any]) -> tuple[str, str] | None:
+def classify_outcome(line: dict[str, Any]) -> tuple[str, str] | None:
     """Return how a request ended and why; None if it was in time."""
     objective = line["objective"]
     match line["outcome"]:
@@ -168,8 +170,8 @@
             return ("failed", "the caller left")
 
 
-def gather_reasons(
-    lines: list[dict[str, Any]], routes: dict[str, Kind]
+def count_reasons(
+    lines: list[dict[str, Any]], routes: dict[str, RequestKind]
 ) -> dict[tuple[str, str], Reasons]:
     """Count reasons by kind of request and outcome."""
     counts: dict[tuple[str, str], Reasons] = collections.defaultdict(
@@ -180,7 +182,7 @@
         found = None
         if line["event"] == "request_ended":
             kind = routes.get(line["route"])
-            found = name_reason(line)
+            found = classify_outcome(line)
         elif line["event"] == "request_refused":
             kind = routes.get(line["route"])
             name = errors.Code(line["code"]).name.lower()
@@ -190,16 +192,18 @@
     return counts
 
 
-def split(amount: float, reasons: Reasons) -> dict[str, float]:
+def divide_loss(amount: float, reasons: Reasons) -> dict[str, float]:
     """Divide a loss among reasons as often as each was seen."""
     total = sum(reasons.values())
     if not total:
-        return {UNSEEN: amount} if amount else {}
+        return {UNEXPLAINED: amount} if amount else {}
     return {why: amount * n / total for why, n in reasons.items()}
 
 
-def list_losses(
-    kind: Kind, row: dict[str, Any], reasons: dict[tuple[str, str], Reasons]
+def compute_kind_losses(
+    kind: RequestKind,
+    row: dict[str, Any],
+    reasons: dict[tuple[str, str], Reasons],
 ) -> dict[str, float]:
     """Return what a kind of request lost, by reason, in its worth.
 
@@ -213,7 +217,7 @@
     lost = (1 - row["worth"]) * owed
     seen = late + refused + failed
     if not seen:
-        return {UNSEEN: lost} if lost > 0 else {}
+        return {UNEXPLAINED: lost} if lost > 0 else {}
     scale = lost / seen
     found: dict[str, float] = collections.defaultdict(float)
     for outcome, amount in (
@@ -230,22 +234,22 @@
                     "failed": {"no instance was reached or it died": unseen},
                 }[outcome]
             )
-        for why, part in split(amount * scale, counts).items():
+        for why, part in divide_loss(amount * scale, counts).items():
             found[f"{outcome}: {why}"] += part
     return dict(found)
 
 
-def add_up(
+def compute_losses(
     sheet: dict[str, Any],
     report: dict[str, Any],
     lines: list[dict[str, Any]],
 ) -> dict[str, dict[str, float]]:
     """Return all that keeps a day's worth below one, by part and reason."""
     kinds = read_kinds(sheet)
-    reasons = gather_reasons(lines, find_routes(lines, kinds))
+    reasons = count_reasons(lines, match_routes(lines, kinds))
     rows = {row["name"]: row for row in report["classes"]}
     losses = {
-        kind.name: list_losses(kind, rows[kind.name], reasons)
+        kind.name: compute_kind_losses(kind, rows[kind.name], reasons)
         for kind in kinds
         if kind.name in rows
     }
@@ -261,7 +265,7 @@
         table[name] = {"below one": weight * (1 - got)}
     prices: dict[str, float] = collections.defaultdict(float)
     for name, _, taken in report["prices"]:
-        named = PREPAID if name in RUNNING_COSTS else name
+        named = RUNNING_COST_LABEL if name in RUNNING_COST_PRICES else name
         prices[named] += taken
     table["prices"] = {k: v for k, v in prices.items() if v > 0}
     return table
@@ -302,7 +306,7 @@
         described = tomllib.load(file)
     day = json.loads(pathlib.Path(report).read_text())
     text = pathlib.Path(lines).read_text(errors="replace")
-    table = add_up(described, day, list(read_lines(text)))
+    table = compute_losses(described, day, list(read_lines(text)))
     print(render(table, day["G"]))
     if json_file:
         pathlib.Path(json_file).write_text(json.dumps(table, indent=1))
--- a/measures/path_endpoint.py
+++ b/measures/path_endpoint.py
@@ -9,7 +9,7 @@
 
 from standins import listener
 
-WHOLE = json.dumps(
+WHOLE_ANSWER = json.dumps(
     {
         "id": "answer",
         "object": "chat.completion",
@@ -24,7 +24,7 @@
         ],
     }
 ).encode()
-EVENT = (
+TOKEN_EVENT = (
     b"data: "
     + json.dumps(
         {
@@ -43,8 +43,8 @@
     ).encode()
     + b"\n\n"
 )
-LOAD = json.dumps({"running": 0, "queued": 0, "cold": False}).encode()
-COUNT = re.compile(rb'"max_tokens": (\d+)')
+LOAD_REPORT = json.dumps({"running": 0, "queued": 0, "cold": False}).encode()
+MAX_TOKENS_PATTERN = re.compile(rb'"max_tokens": (\d+)')
 
 
 class Endpoint:
@@ -64,17 +64,17 @@
     ) -> collections.abc.Iterable[bytes]:
         """Answer one HTTP request."""
         if environ["PATH_INFO"] != "/v1/chat/completions":
-            return _answer(start_response, LOAD)
+            return _answer(start_response, LOAD_REPORT)
         body = environ["wsgi.input"].read()
         if b'"stream": true' not in body:
-            return _answer(start_response, WHOLE)
+            return _answer(start_response, WHOLE_ANSWER)
         start_response("200 OK", [("Content-Type", "text/event-stream")])
-        found = COUNT.search(body)
+        found = MAX_TOKENS_PATTERN.search(body)
         return self._stream(int(found[1]) if found else 16)
 
     def _stream(self, count: int) -> collections.abc.Iterator[bytes]:
         for _ in range(count):
-            yield EVENT
+            yield TOKEN_EVENT
             gevent.sleep(self._pause)
         yield b"data: [DONE]\n\n"
 
--- a/measures/telemetry.py
+++ b/measures/telemetry.py
@@ -20,13 +20,13 @@
 from citronport.endpoints import messages
 from citronport.scheduler import models
 
-PIECES = 350
+CHUNKS_PER_ANSWER = 350
 """Pieces of one answer: 17 M tokens a second over 48,000 requests."""
 
 CHUNK = messages.Chunk(offset=0, data=b"x")
 
 
-class _Inert:
+class _NullObserver:
     """A watch that does nothing, to take the loop's own cost away."""
 
     def record_message(self, message: messages.Message) -> None:
@@ -39,7 +39,7 @@
         pass
 
 
-def _make_work() -> runs.Work:
+def _make_request() -> runs.Work:
     return runs.Work(
         request=models.Request(
             request_id="r",
@@ -61,20 +61,26 @@
     )
 
 
-def _drive(made: telemetry.Telemetry | None, requests: int) -> float:
-    inert = _Inert()
+def _measure_cpu_seconds(
+    made: telemetry.Telemetry | None, requests: int
+) -> float:
+    null_observer = _NullObserver()
     started = time.process_time()
     for _ in range(requests):
-        work = _make_work()
-        watch = made.make_observer(work, forwarded=False) if made else inert
-        watch.record_decision()
-        watch.record_dispatch("engine-1")
-        watch.record_message(
+        work = _make_request()
+        observer = (
+            made.make_observer(work, forwarded=False)
+            if made
+            else null_observer
+        )
+        observer.record_decision()
+        observer.record_dispatch("engine-1")
+        observer.record_message(
             messages.Started(status=200, content_type="text/plain")
         )
-        for _ in range(PIECES):
-            watch.record_message(CHUNK)
-        watch.record_message(messages.Finished(size=PIECES))
+        for _ in range(CHUNKS_PER_ANSWER):
+            observer.record_message(CHUNK)
+        observer.record_message(messages.Finished(size=CHUNKS_PER_ANSWER))
     return (time.process_time() - started) / requests
 
 
@@ -103,7 +109,7 @@
         }
         figures = {
             name: statistics.median(
-                _drive(make(), requests) for _ in range(repeats)
+                _measure_cpu_seconds(make(), requests) for _ in range(repeats)
             )
             for name, make in makers.items()
         }
@@ -113,5 +119,5 @@
         print(f"{name:18} {(seconds - base) * 1e6:8.1f} us a request")
     print(f"{size:.0f} bytes a span")
     if json_file is not None:
-        told = {"cpu_s_per_request": figures, "bytes_per_span": size}
-        pathlib.Path(json_file).write_text(json.dumps(told, indent=2))
+        results = {"cpu_s_per_request": figures, "bytes_per_span": size}
+        pathlib.Path(json_file).write_text(json.dumps(results, indent=2))
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -92,19 +92,19 @@
 
     def test_losses_add_up_to_the_missing_score(self) -> None:
         """The sum of all losses is one minus the score of the day."""
-        table = losses.add_up(SHEET, REPORT, LINES)
+        table = losses.compute_losses(SHEET, REPORT, LINES)
         total = sum(sum(part.values()) for part in table.values())
         self.assertAlmostEqual(1 - REPORT["G"], total)
 
     def test_routes_are_known_by_their_traits(self) -> None:
         """Routes with equal traits are told apart by the prompt length."""
-        found = losses.find_routes(LINES, losses.read_kinds(SHEET))
+        found = losses.match_routes(LINES, losses.read_kinds(SHEET))
         self.assertEqual("draft", found["r1"].name)
         self.assertEqual("tag", found["r2"].name)
 
     def test_reasons(self) -> None:
         """Late answers, cut answers and refusals have separate reasons."""
-        table = losses.add_up(SHEET, REPORT, LINES)
+        table = losses.compute_losses(SHEET, REPORT, LINES)
         self.assertEqual(
             {
                 "late: waited here for a place",
