--- a/measures/decisions/engine.py
+++ b/measures/decisions/engine.py
@@ -44,7 +44,8 @@
     Attributes:
         incarnation: grows with each restart that breaks connections.
         overloads: times it fell over in cold start.
-        prefilled_blocks: prefix blocks that any engine of the fleet has prefilled.
+        prefilled_blocks: prefix blocks that any engine of the fleet has
+            prefilled.
     """
 
     def __init__(
