--- a/measures/__init__.py
+++ b/measures/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the project; run them with ``script/measure NAME``."""
+"""Benchmarks, run with ``script/measure NAME``."""
--- a/measures/__main__.py
+++ b/measures/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one measurement: ``python -m measures NAME [--json FILE] ...``."""
+"""Command line: ``python -m measures NAME [--json FILE] ...``."""
 
 import importlib
 import sys
@@ -7,10 +7,10 @@
 
 
 def run() -> None:
-    """Run the measurement that the first argument names.
+    """Run the benchmark that the first argument names.
 
-    Each measurement is a package here with a function ``run``, whose
-    parameters are its flags.
+    Each benchmark is a module or package in this package. The parameters
+    of its function ``run`` become command-line flags.
     """
     if len(sys.argv) < 2 or sys.argv[1].startswith("-"):
         sys.exit("usage: script/measure NAME [--json FILE] ...")
@@ -18,7 +18,7 @@
     try:
         module = importlib.import_module(f"measures.{name}")
     except ModuleNotFoundError:
-        sys.exit(f"there is no measurement {name!r}")
+        sys.exit(f"unknown measurement {name!r}")
     fire.Fire(module.run, command=sys.argv[2:], name=f"measure {name}")
 
 
--- a/measures/losses.py
+++ b/measures/losses.py
@@ -1,9 +1,10 @@
-"""Where a day of the users' bench loses its worth, and for what reason.
+"""Breaks down the score that a simulated day loses, by reason.
 
-Reads what one played day leaves: the bench's report, the sheet of the
-deployment, and the lines that the instances wrote. The report knows what
-each kind of request earned and what was taken off; the lines know why a
-request waited, was refused or was cut. The shares add up to the whole.
+Reads the output of one run of the users' test bench: its report, the sheet
+that describes the deployment, and the log lines of the instances. The report
+gives the score of each kind of request and the deductions; the log lines
+give the reason why a request waited, was refused or was cut. The losses sum
+to the score that is missing.
 
 Usage: script/measure losses SHEET REPORT LINES [--json FILE]
 """
@@ -19,15 +20,15 @@
 from citronport import errors
 
 WAITED_SHARE = 0.5
-"""Share of the objective from which on a wait here, and not the endpoint,
-made an answer late."""
+"""Late answers that waited here for more than this share of the objective
+are attributed to the wait, others to the endpoint."""
 
 UNEXPLAINED = "no line of an instance tells why"
 
 RUNNING_COST_LABEL = (
     "cost of running: machines, processor, memory, links, store"
 )
-"""Prices of what is in use, whatever becomes of the requests."""
+"""Label of the prices that do not depend on the outcome of requests."""
 
 RUNNING_COST_PRICES = frozenset(
     {
@@ -41,22 +42,22 @@
         "probes and requests without id",
     }
 )
-"""The bench's names of these prices."""
+"""Names of these prices in the report of the bench."""
 
 Reasons = collections.Counter[str]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestKind:
-    """A kind of request, as the sheet tells it.
+    """A kind of request, as the sheet describes it.
 
     Attributes:
-        name: on the sheet.
-        repeat: what may be sent twice, in this project's words.
-        objective: seconds.
-        prompt: mean tokens to read; 0 for a plain request.
-        worth: of an answer in time.
-        late_worth: of a late one.
+        name: its name in the sheet.
+        repeat: whether it may be repeated, as log lines spell it.
+        objective: latency objective, seconds.
+        prompt: mean prompt tokens; 0 for a plain HTTP request.
+        worth: score of an answer in time.
+        late_worth: score of a late answer.
     """
 
     name: str
@@ -72,11 +73,11 @@
     "unsafe": "non-idempotent",
     "safe": "idempotent",
 }
-"""The sheet's words for what may be sent twice."""
+"""Values of ``repeat`` in log lines, by the kind in the sheet."""
 
 
 def read_kinds(sheet: dict[str, Any]) -> list[RequestKind]:
-    """Return the kinds of request of a sheet."""
+    """Return the kinds of request that a sheet lists."""
     return [
         RequestKind(
             name=row["name"],
@@ -93,7 +94,7 @@
 
 
 def read_lines(text: str) -> collections.abc.Iterator[dict[str, Any]]:
-    """Return the instances' lines; others in the file are passed over."""
+    """Yield the log lines of instances; skip all other lines."""
     for line in text.splitlines():
         start = line.find('{"at"')
         if start < 0:
@@ -101,7 +102,7 @@
         try:
             yield json.loads(line[start:])
         except json.JSONDecodeError:
-            # The bench cuts what a killed process had half written.
+            # A killed process leaves a truncated last line.
             continue
 
 
@@ -110,8 +111,8 @@
 ) -> dict[str, RequestKind]:
     """Return the kind of request that each route carries.
 
-    Names of routes are new each day: a route is known by what may be
-    repeated, its objective and the mean length of its prompts.
+    Route names change with each run, so a route is identified by whether
+    its requests may be repeated, its objective and its mean prompt length.
     """
     prompts: dict[str, float] = {
         line["request"]: line["prompt"]
@@ -144,7 +145,7 @@
 
 
 def classify_outcome(line: dict[str, Any]) -> tuple[str, str] | None:
-    """Return how a request ended and why; None if it was in time."""
+    """Return the outcome and reason of a loss; None if in time."""
     objective = line["objective"]
     match line["outcome"]:
         case "answered" if line["status"] >= 500:
@@ -173,7 +174,7 @@
 def count_reasons(
     lines: list[dict[str, Any]], routes: dict[str, RequestKind]
 ) -> dict[tuple[str, str], Reasons]:
-    """Count reasons by kind of request and outcome."""
+    """Count the reasons of losses by kind of request and outcome."""
     counts: dict[tuple[str, str], Reasons] = collections.defaultdict(
         collections.Counter
     )
@@ -193,7 +194,7 @@
 
 
 def divide_loss(amount: float, reasons: Reasons) -> dict[str, float]:
-    """Divide a loss among reasons as often as each was seen."""
+    """Divide a loss among reasons in proportion to their counts."""
     total = sum(reasons.values())
     if not total:
         return {UNEXPLAINED: amount} if amount else {}
@@ -205,10 +206,10 @@
     row: dict[str, Any],
     reasons: dict[tuple[str, str], Reasons],
 ) -> dict[str, float]:
-    """Return what a kind of request lost, by reason, in its worth.
+    """Return the score that a kind of request lost, by reason.
 
-    The report's own sum holds the sizes of the requests; the counts of
-    outcomes only divide it.
+    The total comes from the report, which weighs requests by size; the
+    counts of outcomes only divide it.
     """
     late = row["late"] * (kind.worth - kind.late_worth)
     refused = row["refused"] * kind.worth
@@ -244,7 +245,7 @@
     report: dict[str, Any],
     lines: list[dict[str, Any]],
 ) -> dict[str, dict[str, float]]:
-    """Return all that keeps a day's worth below one, by part and reason."""
+    """Return everything that keeps the score below 1, by part and reason."""
     kinds = read_kinds(sheet)
     reasons = count_reasons(lines, match_routes(lines, kinds))
     rows = {row["name"]: row for row in report["classes"]}
@@ -294,13 +295,13 @@
 
 
 def run(sheet: str, report: str, lines: str, json_file: str = "") -> None:
-    """Print where a played day lost its worth.
+    """Print the score that a simulated day lost, by reason.
 
     Args:
-        sheet: the deployment's file.
-        report: what the bench wrote of the day.
-        lines: its output with the lines of all instances.
-        json_file: where the table goes too.
+        sheet: file that describes the deployment (TOML).
+        report: report of the bench (JSON).
+        lines: output of the bench with the log lines of all instances.
+        json_file: file to write the table to.
     """
     with open(sheet, "rb") as file:
         described = tomllib.load(file)
--- a/measures/path.py
+++ b/measures/path.py
@@ -1,4 +1,4 @@
-"""Cost of the path: CPU time of a request and of a token, by way taken."""
+"""CPU time of a request and of a token, by request path."""
 
 import dataclasses
 import json as json_module
@@ -13,7 +13,7 @@
 
 ENGINES = 4
 ENDPOINT_CONCURRENCY = 512
-"""More than the connections: the measure is of cost, not of queues."""
+"""Exceeds the number of connections, so that no request is queued."""
 
 CONNECTIONS = 32
 WARM_UP_SECONDS = 2.0
@@ -25,18 +25,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Figure:
-    """Cost of one way; CPU time is that of the named processes.
+    """Cost of one request path; CPU time is that of the named processes.
 
     Attributes:
-        way: direct, relay, entry, or forward (two entries, each call at
-            the one that does not own the endpoint).
-        requests_per_second: whole calls in a closed loop.
-        cpu_seconds_per_request: of all processes of the way.
-        tokens_per_second: paced streams side by side.
-        cpu_seconds_per_token: of all processes of the way.
-        p95_gap_seconds: between two pieces of one stream.
-        p95_first_seconds: to the first piece of a stream.
-        failed: calls and streams without a whole answer.
+        way: name of the request path: direct, relay, entry, or forward
+            (two instances; each call goes to the one that does not own
+            the endpoint).
+        requests_per_second: complete calls in a closed loop.
+        cpu_seconds_per_request: of all processes of the path.
+        tokens_per_second: of concurrent, paced streams.
+        cpu_seconds_per_token: of all processes of the path.
+        p95_gap_seconds: between two chunks of one stream.
+        p95_first_seconds: to the first chunk of a stream.
+        failed: calls and streams without a complete answer.
     """
 
     way: str
@@ -51,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestPath:
-    """One way to measure.
+    """A request path to measure.
 
     Attributes:
         name: see ``Figure.way``.
-        target: where the load goes.
-        processes: whose CPU time counts.
+        target: where the load is sent.
+        processes: names of the processes whose CPU time is counted.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadSize:
-    """How much load is put on each way."""
+    """Amount of load for each request path."""
 
     seconds: float
     streams: int
@@ -74,7 +75,7 @@
 
 
 class Testbed:
-    """The processes of the measure; one entry owns all, or two share."""
+    """The processes of the benchmark, with one or two entry instances."""
 
     def __init__(
         self, running: processes.Processes, subnet: str, instances: int
@@ -84,7 +85,7 @@
         self.relay = f"127.{subnet}.240:8000"
 
     def start(self) -> None:
-        """Start the platform, cheap endpoints and entries."""
+        """Start the platform, the minimal endpoints and the instances."""
         self.fleet.start_platform()
         for endpoint in self.fleet.endpoints:
             self.running.start(
@@ -103,7 +104,7 @@
             processes.wait_for_port(instance["address"], fleet.CALLER_PORT)
 
     def start_relay(self) -> None:
-        """Start the bare relay."""
+        """Start the baseline relay."""
         host, port = self.relay.rsplit(":", 1)
         self.running.start(
             RELAY,
@@ -117,17 +118,17 @@
         processes.wait_for_port(host, int(port))
 
     def get_endpoint_addresses(self) -> tuple[str, ...]:
-        """Return the endpoints' addresses."""
+        """Return the addresses of the endpoints."""
         return tuple(
             f"{e['address']}:{fleet.ENDPOINT_PORT}"
             for e in self.fleet.endpoints
         )
 
     def warm_up(self, request_path: RequestPath) -> None:
-        """Send calls until none is refused: all endpoints are warm.
+        """Send calls until none is refused, so that all endpoints are warm.
 
         Raises:
-            TimeoutError: some still are after a while.
+            TimeoutError: calls are still refused after the last round.
         """
         for _ in range(WARM_UP_ROUNDS):
             rate = path_load.run_closed_loop(
@@ -135,10 +136,12 @@
             )
             if rate.count and not rate.failed:
                 return
-        raise TimeoutError(f"{request_path.name} goes on refusing calls")
+        raise TimeoutError(
+            f"{request_path.name} still refuses calls after warm-up"
+        )
 
     def measure(self, request_path: RequestPath, size: LoadSize) -> Figure:
-        """Put the load on a way and return its cost."""
+        """Load a request path and return its cost."""
         self.warm_up(request_path)
         before = self.read_cpu(request_path)
         calls = path_load.run_closed_loop(
@@ -161,16 +164,16 @@
         )
 
     def read_cpu(self, request_path: RequestPath) -> float:
-        """Return the processor time of a way's processes, seconds."""
+        """Return the CPU seconds used by the processes of a path."""
         pids = [self.running.get_pid(name) for name in request_path.processes]
         return sum(read_cpu(pid) for pid in pids)
 
 
 def read_cpu(pid: int) -> float:
-    """Return the processor time of a process so far, seconds."""
+    """Return the CPU seconds that a process has used so far."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
-    # The name in brackets may hold blanks; the fields are counted from
-    # its end: user and system time are the 12th and 13th after it.
+    # The process name in parentheses may contain spaces, so fields are
+    # counted from its end: user and system time are the 12th and 13th.
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     return ticks / os.sysconf("SC_CLK_TCK")
@@ -207,7 +210,7 @@
 
 
 def make_target(addresses: tuple[str, ...], model: str) -> path_load.Target:
-    """Return a target that the bench's key opens."""
+    """Return a target with the workspace key of the benchmark."""
     return path_load.Target(
         addresses=addresses, model=model, key=WORKSPACE_KEY
     )
@@ -267,13 +270,13 @@
     streams: int = 200,
     tokens: int = 300,
 ) -> None:
-    """Measure the cost of the path, print it and write it.
+    """Measure the CPU cost of each request path and report it.
 
     Args:
-        json: file that gets the figures.
-        subnet: second and third number of the loopback addresses.
-        seconds: how long calls are sent on each way.
-        streams: streams side by side on each way.
+        json: file to write the figures to.
+        subnet: second and third octet of the loopback addresses.
+        seconds: how long calls are sent on each request path.
+        streams: concurrent streams on each request path.
         tokens: tokens of each stream.
     """
     size = LoadSize(seconds=seconds, streams=streams, tokens=tokens)
--- a/measures/path_endpoint.py
+++ b/measures/path_endpoint.py
@@ -1,4 +1,4 @@
-"""A cheap engine: its answers cost next to nothing and never wait."""
+"""A minimal stand-in engine with precomputed answers and no queue."""
 
 import collections.abc
 import json
@@ -48,7 +48,7 @@
 
 
 class Endpoint:
-    """Answers whole at once, or streams tokens at a fixed pace.
+    """Returns a complete answer at once, or streams tokens at a fixed rate.
 
     Args:
         pause: seconds between two tokens of a stream.
@@ -62,7 +62,7 @@
         environ: dict[str, Any],
         start_response: collections.abc.Callable[..., Any],
     ) -> collections.abc.Iterable[bytes]:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         if environ["PATH_INFO"] != "/v1/chat/completions":
             return _answer(start_response, LOAD_REPORT)
         body = environ["wsgi.input"].read()
@@ -93,5 +93,5 @@
 
 
 def run(address: str, port: int, pause: float) -> None:
-    """Serve until killed."""
+    """Serve until the process is killed."""
     listener.serve(address, port, Endpoint(pause))
--- a/measures/path_load.py
+++ b/measures/path_load.py
@@ -1,4 +1,4 @@
-"""Load for the path measure: calls in a closed loop, and paced streams."""
+"""Load generator: calls in a closed loop, and concurrent streams."""
 
 import dataclasses
 import json
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Target:
-    """Where calls go and what they carry.
+    """Where calls are sent, and with which model and key.
 
     Attributes:
-        addresses: "ip:port", taken in turn by the connections.
+        addresses: "ip:port", assigned to connections in round-robin order.
         model: model name.
         key: workspace key.
     """
@@ -30,16 +30,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadResult:
-    """What a load reached.
+    """Result of one load.
 
     Attributes:
-        count: calls, or tokens.
-        failed: calls or streams without a whole answer.
-        seconds: how long it took.
-        p95_gap: seconds between two pieces of a stream that 95 in 100
-            gaps stay under; 0 for calls.
-        p95_first: seconds to a stream's first piece, 95 in 100; 0 for
-            calls.
+        count: completed calls, or tokens of complete streams.
+        failed: calls or streams without a complete answer.
+        seconds: duration of the load.
+        p95_gap: 95th percentile of the seconds between two chunks of a
+            stream; 0 for calls.
+        p95_first: 95th percentile of the seconds to the first chunk of
+            a stream; 0 for calls.
     """
 
     count: int
@@ -52,7 +52,7 @@
 def run_closed_loop(
     target: Target, connections: int, seconds: float
 ) -> LoadResult:
-    """Send whole calls on kept connections, each after the last answer."""
+    """Send calls on persistent connections, one at a time on each."""
     payload = _make_payload(target, stream=False, tokens=16)
     start = time.monotonic()
     end = start + seconds
@@ -70,7 +70,7 @@
 
 
 def read_streams(target: Target, streams: int, tokens: int) -> LoadResult:
-    """Read streams side by side to their ends."""
+    """Read concurrent streams to the end."""
     payload = _make_payload(target, stream=True, tokens=tokens)
     start = time.monotonic()
     tasks = [
@@ -144,7 +144,10 @@
 
 
 def _stream(address: str, payload: bytes) -> list[float]:
-    """Return the time to the first piece and the gaps; empty if cut."""
+    """Return the gaps before each chunk; empty if the stream is cut.
+
+    The first gap is the time to the first chunk.
+    """
     sock = _connect(address)
     last = time.monotonic()
     sock.sendall(payload)
--- a/measures/path_relay.py
+++ b/measures/path_relay.py
@@ -1,4 +1,4 @@
-"""The floor: a relay that decides nothing, WSGI in and HTTP client out."""
+"""Baseline relay without scheduling: WSGI server and HTTP client."""
 
 import collections.abc
 import itertools
@@ -12,11 +12,11 @@
 
 
 class Relay:
-    """Hands each request to the next endpoint on a kept connection.
+    """Relays requests to the endpoints in turn on persistent connections.
 
     Args:
         addresses: "ip:port" of the endpoints.
-        concurrency: connections kept to each.
+        concurrency: size of the connection pool of each endpoint.
     """
 
     def __init__(self, addresses: list[str], concurrency: int) -> None:
@@ -60,13 +60,13 @@
 
 
 def run(address: str, port: int, endpoints: str, concurrency: int) -> None:
-    """Serve until killed.
+    """Serve until the process is killed.
 
     Args:
-        address: where to listen.
-        port: where to listen.
+        address: address to listen on.
+        port: port to listen on.
         endpoints: "ip:port" of each endpoint, joined by "+".
-        concurrency: connections kept to each.
+        concurrency: size of the connection pool of each endpoint.
     """
     relay = Relay(endpoints.split("+"), concurrency)
     listener.serve(address, port, relay)
--- a/measures/telemetry.py
+++ b/measures/telemetry.py
@@ -1,9 +1,9 @@
-"""What counts and traces cost a request, in processor time.
+"""CPU cost of metrics and traces for one request.
 
-Drives the calls that the executor makes for one request with an answer of
-many pieces, with an inert watch (the loop alone), with counts only (traces
-off), with traces on and written to a file, and with traces on for one
-request in a hundred.
+Repeats the calls that the executor makes for one request with a streamed
+answer in four set-ups: with a no-op observer (cost of the loop itself), with
+metrics only, with traces written to a file, and with one request in a
+hundred traced.
 """
 
 import json
@@ -21,13 +21,13 @@
 from citronport.scheduler import models
 
 CHUNKS_PER_ANSWER = 350
-"""Pieces of one answer: 17 M tokens a second over 48,000 requests."""
+"""Chunks of one answer: 17 M tokens/s divided by 48,000 requests/s."""
 
 CHUNK = messages.Chunk(offset=0, data=b"x")
 
 
 class _NullObserver:
-    """A watch that does nothing, to take the loop's own cost away."""
+    """No-op observer, to subtract the cost of the loop itself."""
 
     def record_message(self, message: messages.Message) -> None:
         pass
@@ -87,12 +87,12 @@
 def run(
     requests: int = 2000, repeats: int = 5, json_file: str | None = None
 ) -> None:
-    """Measure, print a table, and write the figures.
+    """Measure the CPU cost for each request and report it.
 
     Args:
-        requests: requests of each repeat.
-        repeats: the median of so many is told.
-        json_file: where to write the figures as JSON.
+        requests: requests in each repeat.
+        repeats: number of repeats, of which the median is reported.
+        json_file: file to write the figures to.
     """
     ticker = clock.RuntimeClock()
     with tempfile.TemporaryDirectory() as folder:
