--- a/measures/capacity/__init__.py
+++ b/measures/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Slopes of state, messages, time and memory, and what they come to."""
+"""Cost of state, messages, CPU and memory, extrapolated to full size."""
 
 import dataclasses
 import json as json_module
@@ -12,12 +12,12 @@
 
 
 def run(json: str = "", seconds: float = 8.0, subnet: str = "35.1") -> None:
-    """Measure the slopes and extrapolate them to the aimed size.
+    """Measure costs at several sizes and extrapolate to the target size.
 
     Args:
-        json: file for the figures.
-        seconds: how long each number of real processes is watched.
-        subnet: second and third number of the loopback addresses.
+        json: file to write the figures to.
+        seconds: how long real processes are measured at each size.
+        subnet: second and third octet of the loopback addresses.
     """
     series = [
         *catalogue.measure(),
--- a/measures/capacity/aims.py
+++ b/measures/capacity/aims.py
@@ -1,4 +1,4 @@
-"""What the slopes come to at the aimed size, against the budget."""
+"""Total costs of an instance and of the platform at the target size."""
 
 from citronport.catalogue import const as catalogue_const
 from citronport.instances import const as instance_const
@@ -13,7 +13,7 @@
 def compute_totals(
     fits: list[slopes.Fit], single: dict[str, float]
 ) -> dict[str, float]:
-    """Return the figures of one instance, and of the platform, at size."""
+    """Return the figures of one instance and of the platform at full size."""
     figures = {one.series.name: one.at_aim for one in fits}
     report_rate = 1 / instance_const.RING_REPORT_INTERVAL_SECONDS
     links = figures["links of an instance"]
@@ -57,5 +57,5 @@
 
 
 def describe(totals: dict[str, float]) -> list[str]:
-    """Return one line for each figure."""
+    """Return one line of text for each figure."""
     return [f"at size, {name}: {v:.4g}" for name, v in totals.items()]
--- a/measures/capacity/catalogue.py
+++ b/measures/capacity/catalogue.py
@@ -1,4 +1,4 @@
-"""Cost of the catalogue and of its changes, by its size."""
+"""Cost of the catalogue and of its changes, by the number of endpoints."""
 
 import copy
 import dataclasses
@@ -29,7 +29,7 @@
 
 
 def make_document(endpoints: int, version: int = 1) -> dict[str, Any]:
-    """Return a catalogue; entries grow with the endpoints."""
+    """Return a catalogue whose entries grow with the endpoints."""
     return {
         "version": version,
         "key_salt": "salt-of-the-measure",
@@ -62,7 +62,7 @@
 
 
 def make_members() -> dict[str, ownership.Member]:
-    """Return the instances of the aimed size."""
+    """Return the instances of a fleet of the target size."""
     return {
         f"entry-{n}": ownership.Member(
             name=f"entry-{n}", data_centre=f"dc-{n % DATA_CENTRES}"
@@ -72,7 +72,7 @@
 
 
 def publish(document: dict[str, Any], text: str = "") -> client.Published:
-    """Return a document as the platform publishes it."""
+    """Return a document in the form in which the platform publishes it."""
     return client.Published(
         path=PATH,
         version=document["version"],
@@ -181,7 +181,7 @@
 
 
 def change(document: dict[str, Any], count: int) -> dict[str, Any]:
-    """Return the next version, some endpoints changed."""
+    """Return the next version with the first ``count`` endpoints changed."""
     changed = copy.deepcopy(document)
     changed["version"] += 1
     for endpoint in changed["endpoints"][:count]:
@@ -190,7 +190,7 @@
 
 
 def encode(found: delta.Delta) -> bytes:
-    """Return a difference as it goes to a peer."""
+    """Return a delta encoded as a message to a peer."""
     return messages.encode(
         messages.Difference(
             path=PATH,
@@ -205,7 +205,7 @@
 
 
 def compare_updates() -> dict[str, float]:
-    """Compare whole value, differences and a set-difference sketch."""
+    """Compare the size of the full value, deltas and a sketch."""
     first = make_document(TARGET_ENDPOINTS)
     found: dict[str, float] = {}
     for changes in (1, 12, 288):
--- a/measures/capacity/daemons.py
+++ b/measures/capacity/daemons.py
@@ -1,4 +1,4 @@
-"""Real entry instances at rest: processor time, memory, platform reads."""
+"""Idle cost of real instances: CPU time, memory, platform reads."""
 
 import json
 import pathlib
--- a/measures/capacity/messages.py
+++ b/measures/capacity/messages.py
@@ -1,4 +1,4 @@
-"""Cost of what instances tell each other, and how far it has to go."""
+"""Cost of reports between instances, and the hops that a change takes."""
 
 import dataclasses
 import time
@@ -11,15 +11,15 @@
 
 ENTRY_COUNTS = (0, 50, 100, 200)
 TARGET_ENTRY_COUNT = 80
-"""Entries with work at one instance: 740 workspaces, spread by the lookup
-over a few instances each."""
+"""Active entries of one instance: there are 740 workspaces, and the lookup
+spreads each over a few instances."""
 
 FLEET_SIZES = (24, 64, 170, 510)
 ROUNDS = 300
 
 
 def make_report(entries: int) -> messages.Report:
-    """Return a report of an instance with so many active entries."""
+    """Return the report of an instance with a number of active entries."""
     names = [f"workspace-{n}-class-1" for n in range(entries)]
     summary = models.InstanceSummary(
         instance="entry-123",
@@ -93,7 +93,7 @@
 
 
 def count_hops() -> dict[str, float]:
-    """Return how many hops a change takes to reach all 510 instances."""
+    """Return the number of hops for a change to reach all 510 instances."""
     chosen = _choose(510)
     linked = {name: set(found) for name, found in chosen.items()}
     for name, found in chosen.items():
--- a/measures/capacity/sketch.py
+++ b/measures/capacity/sketch.py
@@ -1,8 +1,8 @@
 """A set-difference sketch (invertible Bloom filter) of catalogue items.
 
 After D. Eppstein, M. Goodrich, J. Simons, "Set-Difference Range Queries",
-arXiv:1306.3482: here only to weigh its bytes and time against versioned
-differences; the system does not use it.
+arXiv:1306.3482. It is only compared with versioned deltas in size and time;
+the system does not use it.
 """
 
 import json
@@ -12,10 +12,10 @@
 
 HASHES = 3
 CELL_BYTES = 4 + 8 + 8
-"""Count, sum of keys, sum of check hashes."""
+"""Size of a count, a XOR of keys and a XOR of check hashes."""
 
 CELLS_PER_DIFFERENCE = 1.7
-"""Cells for each difference; with fewer than about 1.5 it does not decode."""
+"""With fewer than about 1.5 cells per difference, decoding fails."""
 
 
 def reconcile(old: dict[str, Any], new: dict[str, Any]) -> tuple[int, int]:
--- a/measures/capacity/slopes.py
+++ b/measures/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Linear fits of measured figures."""
 
 import dataclasses
 
@@ -7,14 +7,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Series:
-    """One figure at several sizes.
+    """Values of one figure at several sizes.
 
     Attributes:
-        name: what was measured, with its unit.
-        by: what was varied.
-        sizes: at least four.
+        name: name of the figure, with its unit.
+        by: quantity that was varied.
+        sizes: at least four values of that quantity.
         values: the figure at each size.
-        aim: the size to extrapolate to.
+        aim: size to extrapolate to.
     """
 
     name: str
@@ -26,15 +26,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fit:
-    """A series with its line.
+    """A series with its linear fit.
 
     Attributes:
-        series: the points.
-        slope: growth of the figure for each one more.
-        base: the figure at none.
-        error: largest distance of a point from the line, as a share of
-            the largest value.
-        at_aim: the line at the aimed size.
+        series: the measured points.
+        slope: slope of the line.
+        base: value of the line at size 0.
+        error: largest residual, as a share of the largest value.
+        at_aim: value of the line at the size to extrapolate to.
     """
 
     series: Series
@@ -45,7 +44,7 @@
 
 
 def fit(series: Series) -> Fit:
-    """Return the straight line that fits a series best."""
+    """Fit a line to a series by least squares."""
     slope, base = numpy.polyfit(series.sizes, series.values, 1)
     fitted = [base + slope * size for size in series.sizes]
     residuals = [
@@ -61,7 +60,7 @@
 
 
 def describe(fits: list[Fit]) -> list[str]:
-    """Return one line for each fit."""
+    """Return one line of text for each fit."""
     lines = []
     for one in fits:
         series = one.series
--- a/measures/capacity/traffic.py
+++ b/measures/capacity/traffic.py
@@ -1,4 +1,4 @@
-"""Processor time of one entry by the requests and tokens that it carries."""
+"""CPU time of one instance by its rate of requests and tokens."""
 
 import pathlib
 import tempfile
@@ -16,7 +16,7 @@
 
 
 def measure(seconds: float, subnet: str) -> list[slopes.Series]:
-    """Return the series by requests and by tokens a second."""
+    """Return the series by requests and by tokens per second."""
     with (
         tempfile.TemporaryDirectory() as folder,
         processes.Processes(pathlib.Path(folder)) as running,
--- a/measures/scale/__init__.py
+++ b/measures/scale/__init__.py
@@ -1,4 +1,4 @@
-"""The cost of a decision by the number of endpoints and instances."""
+"""CPU cost of scheduling by the number of endpoints and instances."""
 
 import dataclasses
 import json as json_module
@@ -12,14 +12,14 @@
 ENDPOINTS_PER_INSTANCE = 10
 REQUEST_COUNT = 3000
 REQUEST_INTERVAL_SECONDS = 0.25
-"""Seconds between two requests; each has its own time before its deadline."""
+"""Time between two requests, whose deadlines count from their arrival."""
 
 
 def run(json: str = "") -> None:
-    """Measure one scheduler with 10 own endpoints in growing fleets.
+    """Measure one scheduler that owns 10 endpoints in fleets of each size.
 
     Args:
-        json: file for the figures.
+        json: file to write the figures to.
     """
     rows = [measure(size) for size in SIZES]
     for row in rows:
@@ -35,7 +35,7 @@
 
 
 def measure(size: int) -> dict[str, float]:
-    """Return processor time for each kind of event in a fleet."""
+    """Return the CPU time of each kind of event in a fleet of a size."""
     instances = max(1, size // ENDPOINTS_PER_INSTANCE)
     fleet, owners = _make_fleet(size, instances)
     scheduler = core.Scheduler("entry-0")
