--- a/measures/decisions/__init__.py
+++ b/measures/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: every load against every policy."""
+"""Scheduling quality of each policy under each simulated load."""
 
 import concurrent.futures
 import json as json_module
@@ -22,7 +22,7 @@
     "clairvoyant",
 )
 WORKERS = 5
-"""Runs at once; a run is one process that ends by itself."""
+"""Concurrent worker processes, each of which simulates one run at a time."""
 
 
 def run(
@@ -32,14 +32,14 @@
     policy: str = "",
     plot: str = "",
 ) -> None:
-    """Measure the decisions under load.
+    """Simulate each load with each policy and report the results.
 
     Args:
-        json: file for the figures.
-        load: only this load.
+        json: file to write the figures to.
+        load: run only this load.
         seeds: number of seeds.
-        policy: only this policy; "independent" has no owners.
-        plot: file for the plot (PNG).
+        policy: run only this policy; "independent" has no endpoint owners.
+        plot: file to write the plot to (PNG).
     """
     names = [load] if load else list(loads.LOADS)
     policies = [policy] if policy else list(POLICIES)
@@ -62,7 +62,7 @@
 
 
 def _get_variants(load: str, policy: str) -> tuple[str, ...]:
-    # Two aims compare the project with itself on a smaller load.
+    # Some targets compare citronport with itself on a reduced load.
     if policy != "citronport":
         return ("",)
     match load:
@@ -75,7 +75,7 @@
 
 
 def measure(job: tuple[str, str, int, str]) -> dict[str, Any]:
-    """Run one load with one policy and return its figures."""
+    """Simulate one load with one policy and return its figures."""
     name, policy, seed, variant = job
     load = loads.LOADS[name](seed)
     if variant == "without":
@@ -106,7 +106,7 @@
         case "citronport":
             return instances.Instances(site, core.Scheduler)
         case "earlier":
-            # It scans its whole queue at each event.
+            # It scans its whole queue at each event, so it gets fewer ticks.
             return instances.Instances(site, earlier.Scheduler, tick=1.0)
         case "independent":
             return instances.Instances(site, core.Scheduler, independent=True)
@@ -117,4 +117,4 @@
         case "clairvoyant":
             return baselines.Clairvoyant(site)
         case _:
-            raise ValueError(f"there is no policy {policy!r}")
+            raise ValueError(f"unknown policy {policy!r}")
--- a/measures/decisions/aims.py
+++ b/measures/decisions/aims.py
@@ -1,4 +1,4 @@
-"""The aims, each held against the same run."""
+"""Targets for the results, and whether they are met."""
 
 import collections.abc
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def print_aims(rows: list[dict[str, Any]]) -> None:
-    """Print each aim, whether it is met, and the worst figure."""
+    """Print each target, whether it is met, and the figures of all runs."""
     for text, values, met in evaluate(rows):
         if values:
             missed = [v for v in values if not met(v)]
@@ -18,7 +18,7 @@
 def evaluate(
     rows: list[dict[str, Any]],
 ) -> list[tuple[str, list[float], collections.abc.Callable[[float], bool]]]:
-    """Return for each aim its text, its figures and when one meets it."""
+    """Return the text, the figures and the predicate of each target."""
     own = [r for r in rows if r["policy"] == "citronport"]
     plain = [r for r in own if not r["variant"]]
     judged = [
--- a/measures/decisions/baselines.py
+++ b/measures/decisions/baselines.py
@@ -1,4 +1,4 @@
-"""Policies that the project's own is measured against."""
+"""Baseline policies to compare the scheduler with."""
 
 import itertools
 
@@ -12,11 +12,12 @@
 
 
 class ImmediateDispatch:
-    """Sends each request at once; keeps no queue and knows no tiers.
+    """Dispatches each request on arrival, without a queue or tiers.
 
     Args:
-        site: the world.
-        by_report: choose the least reported load, not the next in turn.
+        site: the simulated site.
+        by_report: choose the endpoint with the least reported load, in
+            place of round-robin.
     """
 
     def __init__(self, site: site_module.Site, *, by_report: bool) -> None:
@@ -30,7 +31,7 @@
         self._attempts: dict[str, int] = {}
 
     def arrive(self, arrival: loads.Arrival) -> None:
-        """Send it and give up at its deadline."""
+        """Dispatch a request; cancel it at its deadline."""
         request = arrival.request
         self._requests[request.request_id] = request
         self._site.clock.call_at(
@@ -39,7 +40,7 @@
         self._send(request)
 
     def connect(self, endpoint: str, *, up: bool) -> None:
-        """Use only endpoints that are connected."""
+        """Track which endpoints are connected; only these are used."""
         self._incarnations.pop(endpoint, None)
         if up:
             self._incarnations[endpoint] = self._site.engines[
@@ -47,27 +48,27 @@
             ].incarnation
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
-        """Believe the report as it is."""
+        """Store the latest load report."""
         self._reports[endpoint] = report
 
     def publish(self, fleet: models.Fleet) -> None:
-        """Follow the catalogue."""
+        """Use a newer catalogue."""
         self._fleet = fleet
 
     def freeze(self, instance: str, seconds: float) -> None:
-        """Not modelled: the baselines have no instances that own a thing."""
+        """Do nothing: baselines have no instances that own endpoints."""
 
     def take_first_token(self, sender: str, request_id: str) -> None:
-        """Nothing depends on it."""
+        """Do nothing: no decision depends on it."""
 
     def finish(
         self, sender: str, request_id: str, output: int, cached: int
     ) -> None:
-        """The request is over."""
+        """Forget a request that is answered."""
         self._requests.pop(request_id, None)
 
     def fail(self, sender: str, request_id: str, sent: bool) -> None:
-        """Try elsewhere if nothing was sent."""
+        """Dispatch again if the request did not reach the endpoint."""
         request = self._requests.get(request_id)
         if request is None:
             return
@@ -122,7 +123,10 @@
 
 
 class Clairvoyant:
-    """One queue that knows lengths and true states: the upper limit."""
+    """A single queue that knows output lengths and true states.
+
+    It is an upper bound for what a scheduler can achieve.
+    """
 
     QUEUE_SCAN_LIMIT = 60
 
@@ -137,7 +141,7 @@
         self._fleet = site.fleet
 
     def arrive(self, arrival: loads.Arrival) -> None:
-        """Queue it by tier and deadline."""
+        """Queue a request by tier and deadline."""
         self._waiting.append(arrival.request)
         self._waiting.sort(key=lambda r: (r.tier, r.deadline))
         self._site.clock.call_at(
@@ -146,31 +150,31 @@
         self._dispatch_waiting()
 
     def connect(self, endpoint: str, *, up: bool) -> None:
-        """It looks at the true state instead."""
+        """Dispatch waiting requests; the true state is read directly."""
         self._dispatch_waiting()
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
-        """It looks at the true state instead."""
+        """Do nothing: the true state is read directly."""
 
     def publish(self, fleet: models.Fleet) -> None:
-        """Follow the catalogue."""
+        """Use a newer catalogue."""
         self._fleet = fleet
 
     def freeze(self, instance: str, seconds: float) -> None:
-        """It has no instances."""
+        """Do nothing: this policy has no instances."""
 
     def take_first_token(self, sender: str, request_id: str) -> None:
-        """Nothing depends on it."""
+        """Do nothing: no decision depends on it."""
 
     def finish(
         self, sender: str, request_id: str, output: int, cached: int
     ) -> None:
-        """A place is free."""
+        """Release the slot of a request and dispatch waiting requests."""
         self._release(request_id)
         self._dispatch_waiting()
 
     def fail(self, sender: str, request_id: str, sent: bool) -> None:
-        """Send again what was not sent."""
+        """Refuse the request as lost and dispatch waiting requests."""
         request = self._release(request_id)
         if request is not None:
             self._site.refuse(request_id, errors.Code.ENDPOINT_LOST)
--- a/measures/decisions/earlier.py
+++ b/measures/decisions/earlier.py
@@ -1,4 +1,4 @@
-"""The scheduler of commit 4f9ab58: the project's earlier version."""
+"""The scheduler of commit 4f9ab58, kept as a baseline."""
 
 import collections
 
@@ -8,7 +8,7 @@
 
 
 class Scheduler:
-    """Decides for the endpoints that one instance owns.
+    """Schedules requests on the endpoints that one instance owns.
 
     Args:
         instance: name of this instance.
@@ -28,14 +28,14 @@
         self._leaving = False
 
     def handle(self, event: models.Event, now: float) -> list[models.Action]:
-        """Take one event and return what to do about it.
+        """Handle an event and return the resulting actions.
 
         Args:
             event: what happened.
-            now: clock time, seconds; never less than in an earlier call.
+            now: clock time, seconds; never decreases between calls.
 
         Returns:
-            Actions in the order in which to carry them out.
+            Actions, in the order in which to execute them.
         """
         match event:
             case models.RequestArrived():
@@ -69,7 +69,7 @@
                 return []
 
     def summarize(self) -> models.InstanceSummary:
-        """Return what the other instances are told."""
+        """Return the summary that is sent to the other instances."""
         queued = tuple(
             sum(r.prompt_tokens + r.max_tokens for r in queue.values())
             for queue in self._queues
@@ -86,7 +86,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Return whether nothing waits or runs here."""
+        """Return whether no request is queued or running."""
         return not self._running and not any(self._queues)
 
     def _admit(
--- a/measures/decisions/engine.py
+++ b/measures/decisions/engine.py
@@ -1,4 +1,4 @@
-"""A small fake of an engine on the virtual clock."""
+"""Simulated inference engine on a virtual clock."""
 
 import collections
 import collections.abc
@@ -11,19 +11,20 @@
 
 BLOCK_TOKENS = 128
 COLD_FACTOR = 4.0
-"""A cold engine prefills so many times slower."""
+"""Factor by which prefill is slower during cold start."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Job:
-    """One request as an engine holds it.
+    """A request at an engine.
 
     Attributes:
         request: the request.
         output_tokens: true length of the answer.
-        first_token: called when the first token is there.
-        finished: called with the cached tokens when the answer is whole.
-        cut: called when the engine drops it.
+        on_first_token: called when the first token is generated.
+        on_finished: called with the number of cached prompt tokens when
+            the answer is complete.
+        on_cut: called when the engine drops the request.
     """
 
     request: models.Request
@@ -39,11 +40,11 @@
 
 
 class Engine:
-    """Batch, serial prefill, shared decoding, prefix cache, cold start.
+    """Models batching, serial prefill, decoding, prefix cache, cold start.
 
     Attributes:
-        incarnation: grows with each restart that breaks connections.
-        overloads: times it fell over in cold start.
+        incarnation: incremented by each restart that breaks connections.
+        overloads: number of crashes due to overload in cold start.
         prefilled_blocks: prefix blocks that any engine of the fleet has
             prefilled.
     """
@@ -90,15 +91,15 @@
 
     @property
     def cold(self) -> bool:
-        """Whether it is in cold start."""
+        """Whether the engine is in cold start."""
         return self._clock.now < self._warm_at
 
     def enter_cold_start(self, *, restart: bool, down: float = 0.0) -> None:
-        """Drop all work and the cache and start over, cold.
+        """Drop all jobs and the cache, and enter cold start.
 
         Args:
-            restart: whether the connections break, too.
-            down: seconds until it listens again, if they do.
+            restart: whether connections break, too.
+            down: seconds until the engine accepts connections again.
         """
         jobs = list(self.jobs.values())
         self._reset()
@@ -120,7 +121,7 @@
             self.on_connection_change()
 
     def receive(self, job: Job) -> None:
-        """Take a job in as it comes."""
+        """Accept a job; overload in cold start restarts the engine."""
         self.received += 1
         self.jobs[job.request.request_id] = job
         if self.cold:
@@ -137,7 +138,7 @@
         self._advance()
 
     def cancel(self, request_id: str) -> None:
-        """Drop a job; what it prefilled was in vain."""
+        """Drop a job; its prefill is wasted."""
         job = self.jobs.pop(request_id, None)
         if job is None:
             return
@@ -151,7 +152,7 @@
                 self._advance()
 
     def report(self) -> models.LoadReport:
-        """Return the true state, as a report that is not yet late."""
+        """Return a load report with the current state."""
         return models.LoadReport(
             running=self._in_batch,
             queued=len(self._waiting),
@@ -161,7 +162,7 @@
         )
 
     def get_cached(self, prefix: tuple[int, ...]) -> int:
-        """Return how many prompt tokens the cache holds."""
+        """Return the number of leading prompt tokens in the cache."""
         count = 0
         for block in prefix:
             if block not in self._cache:
--- a/measures/decisions/instances.py
+++ b/measures/decisions/instances.py
@@ -1,4 +1,4 @@
-"""Seven entry instances, each with a scheduler of the project."""
+"""Simulation of seven instances, each with its own scheduler."""
 
 import collections.abc
 
@@ -12,14 +12,14 @@
 SUMMARY_INTERVAL_SECONDS = 0.25
 TICK_INTERVAL_SECONDS = 0.05
 LEASE_SECONDS = 4.0
-"""A silent owner's endpoints go to others after so long."""
+"""Time until the endpoints of a silent owner get new owners."""
 
 REJOIN_DELAY_SECONDS = 2.0
-"""A woken instance gets its endpoints back after so long."""
+"""Time until an instance that resumes gets its endpoints back."""
 
 
 class Instances:
-    """Runs schedulers and carries what they tell each other."""
+    """Runs the schedulers and passes messages between them."""
 
     def __init__(
         self,
@@ -31,11 +31,12 @@
         """Start the schedulers.
 
         Args:
-            site: the world.
-            make: makes a scheduler for a name.
-            tick: seconds between two looks at the time.
-            independent: whether each instance sends to every endpoint, by
-                a limit of its own, in place of one owner for each.
+            site: the simulated site.
+            make: creates the scheduler of an instance, by its name.
+            tick: seconds between two ``TimePassed`` events.
+            independent: whether each instance dispatches to every
+                endpoint, within a limit of its own, in place of one owner
+                for each endpoint.
         """
         self._independent = independent
         self._tick_seconds = tick
@@ -55,7 +56,7 @@
         self._assign(NAMES)
 
     def arrive(self, arrival: loads.Arrival) -> None:
-        """A caller sends to the first entry of its workspace."""
+        """Pass a request to the first reachable instance of its workspace."""
         request = arrival.request
         usable = [n for n in NAMES if n not in self._silent]
         ranked = ownership.rank_instances(request.workspace, usable)
@@ -64,7 +65,7 @@
         self._handle(ranked[0], models.RequestArrived(request=request))
 
     def connect(self, endpoint: str, *, up: bool) -> None:
-        """Every instance sees the connection."""
+        """Report a connection change to all instances."""
         self._incarnations[endpoint] = self._site.engines[endpoint].incarnation
         event: models.Event = models.EndpointLost(endpoint=endpoint)
         if up:
@@ -72,17 +73,17 @@
         self._broadcast(event)
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
-        """Every instance reads the report."""
+        """Pass a load report to all instances."""
         self._broadcast(
             models.EndpointReported(endpoint=endpoint, report=report)
         )
 
     def publish(self, fleet: models.Fleet) -> None:
-        """Every instance gets the catalogue."""
+        """Pass a newer catalogue to all instances."""
         self._broadcast(models.FleetChanged(fleet=fleet))
 
     def freeze(self, instance: str, seconds: float) -> None:
-        """An instance stops; its lease runs out; it wakes up late."""
+        """Freeze an instance until after its lease has expired."""
         self._frozen[instance] = []
         left = [n for n in NAMES if n != instance]
         self._clock.call_later(2.0, self._mark_silent, instance)
@@ -149,7 +150,7 @@
 
     def _wake(self, instance: str) -> None:
         missed = self._frozen.pop(instance)
-        # The daemon looks at its lease before anything else.
+        # A real instance checks its lease before it handles other events.
         changes = [e for e in missed if isinstance(e, models.OwnershipChanged)]
         if changes:
             self._handle(
--- a/measures/decisions/ledger.py
+++ b/measures/decisions/ledger.py
@@ -1,4 +1,4 @@
-"""What became of each request, and what must never have happened."""
+"""Records the outcome of each request and violations of invariants."""
 
 import collections
 import dataclasses
@@ -15,12 +15,12 @@
     errors.Code.DEADLINE_PASSED_WAITING,
     errors.Code.NO_ENDPOINT,
 )
-"""Refusals for want of capacity; catalogue limits are not among them."""
+"""Refusals for lack of capacity, in contrast to catalogue limits."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Record:
-    """One request's way."""
+    """Times and outcome of one request."""
 
     request: models.Request
     arrived: float
@@ -31,7 +31,7 @@
 
 
 class Ledger:
-    """Counts for one run of one policy."""
+    """Counters of one run of one policy."""
 
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
@@ -43,29 +43,29 @@
         self._running_by_tier = [0] * const.TIERS
 
     def record_arrival(self, request: models.Request, now: float) -> None:
-        """A caller sent a request."""
+        """Record that a caller sent a request."""
         self.records[request.request_id] = Record(request=request, arrived=now)
 
     def record_send(self, request_id: str) -> None:
-        """An endpoint received a request."""
+        """Record that an endpoint received a request."""
         record = self.records[request_id]
         record.sends += 1
         self._running_by_tier[record.request.tier] += 1
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """The first token reached the caller."""
+        """Record that the first token reached the caller."""
         record = self.records[request_id]
         if record.first_token is None:
             record.first_token = now
 
     def record_job_end(self, job: engine.Job, *, whole: bool) -> None:
-        """An endpoint is done with a job."""
+        """Record that an endpoint finished or dropped a job."""
         self._running_by_tier[job.request.tier] -= 1
         self.prefilled += job.prefilled
         self.wasted += job.recomputed if whole else job.prefilled
 
     def record_answer(self, request_id: str, now: float) -> None:
-        """The whole answer reached the caller."""
+        """Record that the complete answer reached the caller."""
         record = self.records[request_id]
         if record.code is None:
             record.finished = now
@@ -73,14 +73,14 @@
     def record_refusal(
         self, request_id: str, code: errors.Code, now: float
     ) -> None:
-        """The caller got a final refusal."""
+        """Record that the caller got a final refusal."""
         record = self.records[request_id]
         if record.code is not None or record.finished is not None:
             return
         record.code = code
         tier = record.request.tier
         lower = sum(self._running_by_tier[tier + 1 :])
-        # One that was started too late to give a token was as good as shed.
+        # A request dispatched too late to return a token counts as shed.
         late = code == errors.Code.DEADLINE_PASSED_RUNNING
         shed = code in SHED_CODES or (late and record.first_token is None)
         if shed and lower:
@@ -88,7 +88,7 @@
             self.inversion_cases[tier, code.name] += 1
 
     def is_in_time(self, record: Record) -> bool:
-        """Return whether a request was answered whole in time."""
+        """Return whether a request was answered completely in time."""
         end = record.finished
         return end is not None and end <= record.request.deadline + 1e-9
 
--- a/measures/decisions/loads.py
+++ b/measures/decisions/loads.py
@@ -1,4 +1,4 @@
-"""The loads: who sends what when, and what goes wrong meanwhile."""
+"""Simulated loads: arrivals of requests, and injected faults."""
 
 import collections.abc
 import dataclasses
@@ -7,10 +7,10 @@
 from citronport.scheduler import models
 
 LOAD_SECONDS = 90.0
-"""Length of each load."""
+"""Duration of each load."""
 
 CAPACITY_PER_SECOND = 36.0
-"""Requests a second of the usual mix that the engines bear, measured."""
+"""Measured capacity of the engines for the standard mix, requests/s."""
 
 WORKSPACE_SHARES = {
     "ws-1": 0.4,
@@ -27,15 +27,15 @@
     "ws-5": 0.05,
 }
 SYSTEM_PROMPT_BLOCKS = 4
-"""Blocks of 128 tokens that all requests of a workspace begin with."""
+"""Blocks of 128 tokens in the common prefix of a workspace's requests."""
 
 MAX_TOKENS = 1024
-"""What callers let an answer take; most answers are far shorter."""
+"""Token limit that callers set; most answers are far shorter."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkKind:
-    """One kind of work; tokens are (lowest, highest)."""
+    """A kind of request; ranges are (lowest, highest)."""
 
     tier: int
     share: float
@@ -68,15 +68,15 @@
         documents=4,
     ),
 )
-"""Status reads and reservations; farmer answers; summaries; long reviews."""
+"""Status reads, reservations, answers, summaries and long reviews."""
 
 LONG_WORK_MIX = (0.40, 0.05, 0.20, 0.15, 0.20)
-"""Shares of the same kinds where long work meets short work."""
+"""Shares of the same kinds in the load that mixes long and short work."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """A request and its true length."""
+    """A request, its arrival time and the true length of its answer."""
 
     time: float
     request: models.Request
@@ -85,13 +85,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """Something that happens at a time.
+    """A fault that is injected at a time.
 
     Attributes:
         time: seconds.
-        kind: see ``fleet.Fleet.strike``.
-        target: name of what it hits.
-        value: how hard, or for how long.
+        kind: see ``site.Site._inject_fault``.
+        target: name of the affected engine, data centre or instance.
+        value: severity, or duration in seconds.
     """
 
     time: float
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """One run's arrivals, faults and engines."""
+    """Arrivals, faults and settings of one run."""
 
     name: str
     arrivals: tuple[Arrival, ...]
@@ -112,7 +112,7 @@
 
 
 def make_endpoints() -> dict[str, models.Endpoint]:
-    """Return ten unlike engines in four data centres."""
+    """Return ten engines of three kinds in four data centres."""
     shapes = (
         *((10_000.0, 60.0, 16, 400_000),) * 3,
         *((6000.0, 40.0, 12, 200_000),) * 4,
@@ -122,7 +122,7 @@
         models.Endpoint(
             name=f"engine-{number}",
             kind=models.Kind.ENGINE,
-            # Three engines of the second kind serve short work only.
+            # Three engines serve short work only.
             models=("floor",) if number in (3, 5, 7) else ("floor", "draft"),
             data_centre=f"dc-{number % 4 + 1}",
             address="127.0.0.1:1",
@@ -141,7 +141,7 @@
 def make_fleet(
     endpoints: dict[str, models.Endpoint], version: int = 1, out: str = ""
 ) -> models.Fleet:
-    """Return the catalogue's value."""
+    """Return a catalogue, optionally with one data centre out."""
     centres = [f"dc-{n}" for n in range(1, 5)]
     entries = [
         models.Entry(
@@ -168,7 +168,7 @@
     mix: tuple[float, ...] = tuple(w.share for w in WORK_KINDS),
     seconds: float = LOAD_SECONDS,
 ) -> tuple[Arrival, ...]:
-    """Draw Poisson arrivals; ``rate`` gives requests a second at a time."""
+    """Draw Poisson arrivals; ``rate`` maps a time to requests per second."""
     source = random.Random(seed)
     peak = max(rate(t * 0.5) for t in range(int(seconds * 2)))
     arrivals = []
@@ -202,7 +202,7 @@
     if work.documents:
         pool = documents.setdefault((workspace, work.tier), [])
         if not pool or source.random() < 1 / 4:
-            # A document is used about four times, then others come.
+            # Each document is used about four times on average.
             pool.append((tail, blocks))
             del pool[: -work.documents]
         tail, blocks = source.choice(pool)
@@ -344,12 +344,12 @@
 
 
 def remove_endpoint(load: Load, endpoint: str) -> Load:
-    """Return the same load without one engine and without its faults."""
+    """Return the same load without one engine and without any faults."""
     return dataclasses.replace(load, faults=(), without=(endpoint,))
 
 
 def keep_small_workspaces(load: Load) -> Load:
-    """Return what the small workspaces send, alone."""
+    """Return the same load with only the requests of small workspaces."""
     small = ("ws-2", "ws-3", "ws-4", "ws-5")
     kept = tuple(a for a in load.arrivals if a.request.workspace in small)
     return dataclasses.replace(load, arrivals=kept)
--- a/measures/decisions/report.py
+++ b/measures/decisions/report.py
@@ -1,4 +1,4 @@
-"""The table and the plot of the figures."""
+"""Table and plot of the figures."""
 
 import collections
 from typing import Any
@@ -53,7 +53,7 @@
 
 
 def draw_plot(rows: list[dict[str, Any]], path: str) -> None:
-    """Draw goodput and wasted prefill by load and policy."""
+    """Plot goodput and wasted prefill by load and policy."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/measures/decisions/site.py
+++ b/measures/decisions/site.py
@@ -1,4 +1,4 @@
-"""What every policy drives: engines, reports, faults and the ledger."""
+"""Simulated site: engines, load reports, faults and the ledger."""
 
 import collections.abc
 from typing import Protocol
@@ -11,49 +11,49 @@
 from measures.decisions import timeline
 
 START_SECONDS = -15.0
-"""Engines and entries run for so long before the first request."""
+"""Start of the simulation; the first requests arrive after time 0."""
 
 DRAIN_SECONDS = 80.0
-"""Seconds after the last arrival, until each request must be settled."""
+"""Time after the end of the load in which each request must end."""
 
 HOP_SECONDS = 0.001
-"""One way between two data centres, seconds."""
+"""One-way latency between two data centres."""
 
 REPORT_INTERVAL_SECONDS = 0.5
 
 
 class Policy(Protocol):
-    """What the site tells a policy."""
+    """Interface of the policies that are compared."""
 
     def arrive(self, arrival: loads.Arrival) -> None:
-        """A caller sends a request."""
+        """Handle a request from a caller."""
 
     def connect(self, endpoint: str, *, up: bool) -> None:
-        """The connection to an endpoint came up or broke."""
+        """Handle a connection to an endpoint that came up or broke."""
 
     def report(self, endpoint: str, report: models.LoadReport) -> None:
-        """A load report came."""
+        """Handle a load report."""
 
     def publish(self, fleet: models.Fleet) -> None:
-        """A newer catalogue is there."""
+        """Handle a newer catalogue."""
 
     def freeze(self, instance: str, seconds: float) -> None:
-        """An entry instance stops for a while."""
+        """Freeze an instance for some seconds."""
 
     def take_first_token(self, sender: str, request_id: str) -> None:
-        """The first token of an answer came."""
+        """Handle the first token of an answer."""
 
     def finish(
         self, sender: str, request_id: str, output: int, cached: int
     ) -> None:
-        """An answer is whole."""
+        """Handle a complete answer."""
 
     def fail(self, sender: str, request_id: str, *, sent: bool) -> None:
-        """A dispatch failed."""
+        """Handle a failed dispatch."""
 
 
 class Site:
-    """The world around one policy, for one load."""
+    """Simulates the environment of one policy under one load."""
 
     def __init__(self, load: loads.Load) -> None:
         self.load = load
@@ -76,7 +76,7 @@
         self._policy: Policy | None = None
 
     def run(self, policy: Policy) -> None:
-        """Put a policy through the load, to the end."""
+        """Run the whole load with a policy."""
         self._policy = policy
         policy.publish(self.fleet)
         for name, each in self.engines.items():
@@ -102,11 +102,11 @@
         """Send a request on a connection to one incarnation of an engine.
 
         Args:
-            sender: the instance that sends and is told what happens.
+            sender: name of the sending instance, which gets the outcome.
             request: the request.
-            endpoint: the engine's name.
+            endpoint: name of the engine.
             incarnation: the incarnation that the sender is connected to.
-            on_answer: called when the whole answer has reached the sender.
+            on_answer: called when the complete answer reaches the sender.
         """
         self.clock.call_later(
             HOP_SECONDS,
@@ -150,11 +150,11 @@
         target.receive(job)
 
     def cancel(self, endpoint: str, request_id: str) -> None:
-        """Stop a request at an engine."""
+        """Cancel a request at an engine."""
         self.clock.call_later(HOP_SECONDS, self._cancel, endpoint, request_id)
 
     def refuse(self, request_id: str, code: errors.Code) -> None:
-        """Give a caller its final refusal."""
+        """Send a final refusal to the caller."""
         self.ledger.record_refusal(request_id, code, self.clock.now)
 
     def _cancel(self, endpoint: str, request_id: str) -> None:
@@ -263,7 +263,7 @@
             self.fleet.endpoints, self.fleet.version + 1, out
         )
         if fault.kind == "dc_in":
-            # A data centre comes back with its engines started anew.
+            # The engines of a data centre that returns have been restarted.
             for name, endpoint in self.fleet.endpoints.items():
                 if endpoint.data_centre == fault.target:
                     self.engines[name].enter_cold_start(restart=True, down=0.1)
--- a/measures/decisions/timeline.py
+++ b/measures/decisions/timeline.py
@@ -1,4 +1,4 @@
-"""A virtual clock: runs calls in the order of their times."""
+"""Virtual clock that runs scheduled calls in time order."""
 
 import collections.abc
 import heapq
@@ -7,7 +7,7 @@
 
 
 class Timeline:
-    """Calls that are due at virtual times, seconds."""
+    """Queue of calls, scheduled at virtual times in seconds."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
@@ -17,18 +17,18 @@
     def call_at(
         self, time: float, call: collections.abc.Callable, *args: Any
     ) -> None:
-        """Have a call made at a time, not before now."""
+        """Schedule a call at a time, or now if that has passed."""
         due = max(time, self.now)
         heapq.heappush(self._due, (due, next(self._sequence), call, args))
 
     def call_later(
         self, delay: float, call: collections.abc.Callable, *args: Any
     ) -> None:
-        """Have a call made some seconds from now."""
+        """Schedule a call after a delay in seconds."""
         self.call_at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """Make all calls that are due until a time."""
+        """Run all calls that are due up to a time."""
         while self._due and self._due[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._due)
             call(*args)
