--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -20,7 +20,7 @@
 
 
 class UsageTest(testtools.TestCase):
-    """Exit codes and output; invalid use prints one line, no traceback."""
+    """Invalid use exits with 2 and prints one line without a traceback."""
 
     def check(self, arguments, expected):
         """Run an invalid command line."""
