--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -35,13 +35,13 @@
     def test_second_reader_gets_all_of_a_repeatable_run(self):
         """A repeat attaches later and reads from the start."""
         run = make_run(repeatable=True)
-        piece = messages.Chunk(offset=0, data=b"x")
+        chunk = messages.Chunk(offset=0, data=b"x")
         end = messages.Finished(size=1)
         first = run.attach()
-        run.deliver(piece)
+        run.deliver(chunk)
         run.deliver(end)
-        self.assertEqual(piece, first.get())
-        self.assertEqual([piece, end], list(run.read()))
+        self.assertEqual(chunk, first.get())
+        self.assertEqual([chunk, end], list(run.read()))
 
     def test_nothing_follows_the_end(self):
         """A late chunk after the end of the answer is dropped."""
