--- a/measures/capacity/catalogue.py
+++ b/measures/capacity/catalogue.py
@@ -103,18 +103,18 @@
     row = {"catalogue, bytes of JSON": float(len(as_json))}
     row["whole YAML taken, s"] = _time_apply(publish(first, as_yaml))
     row["whole JSON taken, s"] = _time_apply(publish(first, as_json))
-    holder = store.Store()
-    holder.apply(publish(first))
+    source = store.Store()
+    source.apply(publish(first))
     peer = store.Store()
     peer.apply(publish(first))
-    holder.apply(publish(second))
-    (found,) = holder.find_deltas(PATH, 1)
-    encoded = encode(found)
+    source.apply(publish(second))
+    (difference,) = source.find_deltas(PATH, 1)
+    encoded = encode(difference)
     row["one change to a peer, bytes"] = float(len(encoded))
     began = time.process_time()
-    peer.apply_delta(PATH, found)
+    peer.apply_delta(PATH, difference)
     row["one change taken, s"] = time.process_time() - began
-    row.update(_measure_owners(first, holder))
+    row.update(_measure_owners(first, source))
     row["control state, MB"] = _measure_memory(as_json)
     return row
 
@@ -189,17 +189,17 @@
     return changed
 
 
-def encode(found: delta.Delta) -> bytes:
+def encode(difference: delta.Delta) -> bytes:
     """Return a delta encoded as a message to a peer."""
     return messages.encode(
         messages.Difference(
             path=PATH,
-            base=found.base,
-            version=found.version,
-            fields=found.fields,
-            items=found.items,
-            dropped=found.dropped,
-            checksum=found.checksum,
+            base=difference.base,
+            version=difference.version,
+            fields=difference.fields,
+            items=difference.items,
+            dropped=difference.dropped,
+            checksum=difference.checksum,
         )
     )
 
--- a/measures/capacity/messages.py
+++ b/measures/capacity/messages.py
@@ -101,11 +101,11 @@
             linked[other].add(name)
     start = min(chosen)
     reached = {start}
-    edge = {start}
+    frontier = {start}
     hops = 0
     while len(reached) < 510:
-        edge = {n for name in edge for n in linked[name]} - reached
-        reached |= edge
+        frontier = {n for name in frontier for n in linked[name]} - reached
+        reached |= frontier
         hops += 1
     return {
         "hops to reach 510 instances": hops,
--- a/measures/capacity/sketch.py
+++ b/measures/capacity/sketch.py
@@ -20,18 +20,19 @@
 
 def reconcile(old: dict[str, Any], new: dict[str, Any]) -> tuple[int, int]:
     """Reconcile two documents; return bytes sent and items that differ."""
-    mine = _hash_items(old)
-    theirs = _hash_items(new)
+    old_items = _hash_items(old)
+    new_items = _hash_items(new)
     cells = max(
-        24, int(CELLS_PER_DIFFERENCE * len(mine.keys() ^ theirs.keys()))
+        24,
+        int(CELLS_PER_DIFFERENCE * len(old_items.keys() ^ new_items.keys())),
     )
     found = None
     while found is None:
-        table = _make_table(mine, cells)
-        _subtract(table, theirs)
+        table = _make_table(old_items, cells)
+        _subtract(table, new_items)
         found = _decode(table)
         cells *= 2
-    items = sum(len(theirs[key]) for key in found if key in theirs)
+    items = sum(len(new_items[key]) for key in found if key in new_items)
     return cells // 2 * CELL_BYTES + 8 * len(found) + items, len(found)
 
 
--- a/measures/decisions/__init__.py
+++ b/measures/decisions/__init__.py
@@ -56,7 +56,7 @@
         with open(json, "w") as file:
             json_module.dump([r for r in rows if not r["variant"]], file)
     report.print_table(rows)
-    aims.print_aims(rows)
+    aims.print_targets(rows)
     if plot:
         report.draw_plot(rows, plot)
 
--- a/measures/decisions/aims.py
+++ b/measures/decisions/aims.py
@@ -6,7 +6,7 @@
 Find = collections.abc.Callable[[str, str], dict[str, Any] | None]
 
 
-def print_aims(rows: list[dict[str, Any]]) -> None:
+def print_targets(rows: list[dict[str, Any]]) -> None:
     """Print each target, whether it is met, and the figures of all runs."""
     for text, values, met in evaluate(rows):
         if values:
--- a/measures/decisions/baselines.py
+++ b/measures/decisions/baselines.py
@@ -99,16 +99,16 @@
             self._requests.pop(request.request_id)
             self._site.refuse(request.request_id, errors.Code.NO_ENDPOINT)
             return
-        place = usable[next(self._sequence) % len(usable)]
+        endpoint = usable[next(self._sequence) % len(usable)]
         if self._by_report:
-            place = min(usable, key=self._get_load)
+            endpoint = min(usable, key=self._get_load)
         name = request.request_id
-        self._endpoints[name] = place
+        self._endpoints[name] = endpoint
         self._site.send(
             "any",
             request,
-            place,
-            self._incarnations[place],
+            endpoint,
+            self._incarnations[endpoint],
             lambda: self._site.ledger.record_answer(
                 name, self._site.clock.now
             ),
@@ -193,9 +193,9 @@
             self._waiting.remove(request)
             self._site.refuse(name, errors.Code.DEADLINE_PASSED_RUNNING)
         elif name in self._running:
-            place = self._running[name][1]
+            endpoint = self._running[name][1]
             self._release(name)
-            self._site.cancel(place, name)
+            self._site.cancel(endpoint, name)
             self._site.refuse(name, errors.Code.DEADLINE_PASSED_RUNNING)
             self._dispatch_waiting()
 
@@ -211,7 +211,7 @@
 
     def _has_room(self, name: str) -> bool:
         target = self._site.engines[name]
-        return target.up and len(self._sent[name]) < target.shape.concurrency
+        return target.up and len(self._sent[name]) < target.spec.concurrency
 
     def _choose(self, request: models.Request) -> str | None:
         now = self._site.clock.now
@@ -229,10 +229,8 @@
     def _fits(
         self, request: models.Request, name: str, target: engine.Engine
     ) -> bool:
-        centre = self._fleet.data_centres[target.shape.data_centre]
-        if request.model not in target.shape.models or not self._has_room(
-            name
-        ):
+        centre = self._fleet.data_centres[target.spec.data_centre]
+        if request.model not in target.spec.models or not self._has_room(name):
             return False
         if centre != models.Service.IN:
             return False
@@ -242,8 +240,8 @@
             self._running[r][0].prompt_tokens for r in self._sent[name]
         )
         return (
-            len(self._sent[name]) < target.shape.cold_concurrency
-            and tokens <= target.shape.cold_prompt_tokens
+            len(self._sent[name]) < target.spec.cold_concurrency
+            and tokens <= target.spec.cold_prompt_tokens
         )
 
     def _estimate_end(
@@ -252,9 +250,9 @@
         now = self._site.clock.now
         begin = max(now, self._prefill_idle_at[name])
         batch = len(self._sent[name]) + 1
-        rate = target.shape.decode_rate / (1 + 0.05 * batch)
+        rate = target.spec.decode_rate / (1 + 0.05 * batch)
         length = self._site.lengths[request.request_id]
-        decode = length / rate * target.slow
+        decode = length / rate * target.slowdown
         return begin + self._estimate_prefill_seconds(request, target) + decode
 
     def _estimate_prefill_seconds(
@@ -262,21 +260,23 @@
     ) -> float:
         left = request.prompt_tokens - target.get_cached(request.prefix)
         factor = engine.COLD_FACTOR if target.cold else 1.0
-        return max(1, left) / target.shape.prefill_rate * target.slow * factor
+        return (
+            max(1, left) / target.spec.prefill_rate * target.slowdown * factor
+        )
 
-    def _send(self, request: models.Request, place: str) -> None:
-        target = self._site.engines[place]
+    def _send(self, request: models.Request, endpoint: str) -> None:
+        target = self._site.engines[endpoint]
         now = self._site.clock.now
-        self._prefill_idle_at[place] = max(
-            now, self._prefill_idle_at[place]
+        self._prefill_idle_at[endpoint] = max(
+            now, self._prefill_idle_at[endpoint]
         ) + self._estimate_prefill_seconds(request, target)
         name = request.request_id
-        self._running[name] = (request, place)
-        self._sent[place].add(name)
+        self._running[name] = (request, endpoint)
+        self._sent[endpoint].add(name)
         self._site.send(
             "any",
             request,
-            place,
+            endpoint,
             target.incarnation,
             lambda: self._site.ledger.record_answer(
                 name, self._site.clock.now
--- a/measures/decisions/engine.py
+++ b/measures/decisions/engine.py
@@ -51,15 +51,15 @@
 
     def __init__(
         self,
-        shape: models.Endpoint,
+        spec: models.Endpoint,
         clock: timeline.Timeline,
         prefilled_blocks: set[int],
         cold_seconds: float = 8.0,
     ) -> None:
-        self.shape = shape
+        self.spec = spec
         self.incarnation = 1
         self.up = True
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.overloads = 0
         self.received_cold = 0
         self.received = 0
@@ -128,8 +128,8 @@
             self.received_cold += 1
             tokens = sum(j.request.prompt_tokens for j in self.jobs.values())
             if (
-                len(self.jobs) > self.shape.cold_concurrency
-                or tokens > self.shape.cold_prompt_tokens
+                len(self.jobs) > self.spec.cold_concurrency
+                or tokens > self.spec.cold_prompt_tokens
             ):
                 self.overloads += 1
                 self.enter_cold_start(restart=True, down=1.0)
@@ -172,7 +172,7 @@
 
     def _advance(self) -> None:
         self._update_progress()
-        while self._waiting and self._in_batch < self.shape.concurrency:
+        while self._waiting and self._in_batch < self.spec.concurrency:
             self._in_batch += 1
             self._prefills.append(self._waiting.popleft())
         self._start_prefill()
@@ -193,7 +193,7 @@
                     break
                 known += BLOCK_TOKENS
             job.recomputed = max(0, min(tokens, known) - job.cached)
-            rate = self.shape.prefill_rate / self.slow
+            rate = self.spec.prefill_rate / self.slowdown
             if self.cold:
                 rate /= COLD_FACTOR
             self._prefilling = job
@@ -210,7 +210,7 @@
             self._cache[block] = None
             self._cache.move_to_end(block)
             self.prefilled_blocks.add(block)
-        while len(self._cache) * BLOCK_TOKENS > self.shape.cache_tokens:
+        while len(self._cache) * BLOCK_TOKENS > self.spec.cache_tokens:
             self._cache.popitem(last=False)
         if not job.ended:
             self._sequence += 1
@@ -221,7 +221,7 @@
 
     def _rate(self) -> float:
         share = 1 + 0.05 * max(0, self._in_batch - 1)
-        return self.shape.decode_rate / share / self.slow
+        return self.spec.decode_rate / share / self.slowdown
 
     def _update_progress(self) -> None:
         now = self._clock.now
--- a/measures/decisions/ledger.py
+++ b/measures/decisions/ledger.py
@@ -37,8 +37,8 @@
         self.records: dict[str, Record] = {}
         self.inversions = 0
         self.inversion_cases: collections.Counter = collections.Counter()
-        self.wasted = 0
-        self.prefilled = 0
+        self.wasted_tokens = 0
+        self.prefilled_tokens = 0
         self.sent_before_seen = 0
         self._running_by_tier = [0] * const.TIERS
 
@@ -58,11 +58,11 @@
         if record.first_token is None:
             record.first_token = now
 
-    def record_job_end(self, job: engine.Job, *, whole: bool) -> None:
+    def record_job_end(self, job: engine.Job, *, completed: bool) -> None:
         """Record that an endpoint finished or dropped a job."""
         self._running_by_tier[job.request.tier] -= 1
-        self.prefilled += job.prefilled
-        self.wasted += job.recomputed if whole else job.prefilled
+        self.prefilled_tokens += job.prefilled
+        self.wasted_tokens += job.recomputed if completed else job.prefilled
 
     def record_answer(self, request_id: str, now: float) -> None:
         """Record that the complete answer reached the caller."""
@@ -117,8 +117,8 @@
         return {
             "offered_by_tier": offered,
             "goodput_by_tier": good,
-            "wasted_prefill_tokens": self.wasted,
-            "prefill_tokens": self.prefilled,
+            "wasted_prefill_tokens": self.wasted_tokens,
+            "prefill_tokens": self.prefilled_tokens,
             "tier_inversions": self.inversions,
             "doubled": sum(r.sends > 1 for r in self.records.values()),
             "lost": lost,
--- a/measures/decisions/loads.py
+++ b/measures/decisions/loads.py
@@ -39,33 +39,51 @@
 
     tier: int
     share: float
-    blocks: tuple[int, int]
+    prompt_blocks: tuple[int, int]
     output: tuple[int, int]
-    seconds: float
+    deadline_seconds: float
     model: str = "floor"
-    documents: int = 0
+    document_count: int = 0
 
 
 WORK_KINDS = (
-    WorkKind(tier=0, share=0.35, blocks=(1, 2), output=(8, 30), seconds=4),
-    WorkKind(tier=0, share=0.10, blocks=(1, 4), output=(20, 40), seconds=6),
-    WorkKind(tier=1, share=0.30, blocks=(2, 8), output=(40, 120), seconds=15),
+    WorkKind(
+        tier=0,
+        share=0.35,
+        prompt_blocks=(1, 2),
+        output=(8, 30),
+        deadline_seconds=4,
+    ),
+    WorkKind(
+        tier=0,
+        share=0.10,
+        prompt_blocks=(1, 4),
+        output=(20, 40),
+        deadline_seconds=6,
+    ),
+    WorkKind(
+        tier=1,
+        share=0.30,
+        prompt_blocks=(2, 8),
+        output=(40, 120),
+        deadline_seconds=15,
+    ),
     WorkKind(
         tier=2,
         share=0.17,
-        blocks=(20, 40),
+        prompt_blocks=(20, 40),
         output=(100, 300),
-        seconds=30,
-        documents=6,
+        deadline_seconds=30,
+        document_count=6,
     ),
     WorkKind(
         tier=3,
         share=0.08,
-        blocks=(60, 140),
+        prompt_blocks=(60, 140),
         output=(200, 600),
-        seconds=60,
+        deadline_seconds=60,
         model="draft",
-        documents=4,
+        document_count=4,
     ),
 )
 """Status reads, reservations, answers, summaries and long reviews."""
@@ -108,7 +126,7 @@
     arrivals: tuple[Arrival, ...]
     faults: tuple[Fault, ...] = ()
     report_lag: float = 0.5
-    without: tuple[str, ...] = ()
+    excluded_endpoints: tuple[str, ...] = ()
 
 
 def make_endpoints() -> dict[str, models.Endpoint]:
@@ -183,11 +201,13 @@
         work = source.choices(WORK_KINDS, mix)[0]
         workspace = source.choices(list(shares), list(shares.values()))[0]
         arrivals.append(
-            _draw_one(source, work, workspace, time, len(arrivals), documents)
+            _draw_arrival(
+                source, work, workspace, time, len(arrivals), documents
+            )
         )
 
 
-def _draw_one(
+def _draw_arrival(
     source: random.Random,
     work: WorkKind,
     workspace: str,
@@ -198,13 +218,13 @@
     first = int(workspace.removeprefix("ws-")) * 1_000_000_000
     prefix = [first + n for n in range(SYSTEM_PROMPT_BLOCKS)]
     tail = first + 500_000_000 + number * 1000
-    blocks = source.randint(*work.blocks)
-    if work.documents:
+    blocks = source.randint(*work.prompt_blocks)
+    if work.document_count:
         pool = documents.setdefault((workspace, work.tier), [])
         if not pool or source.random() < 1 / 4:
             # Each document is used about four times on average.
             pool.append((tail, blocks))
-            del pool[: -work.documents]
+            del pool[: -work.document_count]
         tail, blocks = source.choice(pool)
         prefix += [tail + n for n in range(blocks)]
         prefix += [first + 700_000_000 + number]
@@ -219,7 +239,7 @@
         prompt_tokens=len(prefix) * 128 + source.randint(1, 127),
         max_tokens=MAX_TOKENS,
         prefix=tuple(prefix),
-        deadline=time + work.seconds,
+        deadline=time + work.deadline_seconds,
     )
     return Arrival(
         time=time,
@@ -345,7 +365,7 @@
 
 def remove_endpoint(load: Load, endpoint: str) -> Load:
     """Return the same load without one engine and without any faults."""
-    return dataclasses.replace(load, faults=(), without=(endpoint,))
+    return dataclasses.replace(load, faults=(), excluded_endpoints=(endpoint,))
 
 
 def keep_small_workspaces(load: Load) -> Load:
--- a/measures/decisions/site.py
+++ b/measures/decisions/site.py
@@ -60,7 +60,7 @@
         self.clock = timeline.Timeline(START_SECONDS)
         self.ledger = ledger.Ledger()
         endpoints = loads.make_endpoints()
-        for name in load.without:
+        for name in load.excluded_endpoints:
             del endpoints[name]
         self.fleet = loads.make_fleet(endpoints)
         self.lengths = {
@@ -139,12 +139,12 @@
             request=request,
             output_tokens=self.lengths[name],
             on_first_token=lambda: self.clock.call_later(
-                HOP_SECONDS, self._give_first_token, sender, name
+                HOP_SECONDS, self._deliver_first_token, sender, name
             ),
             on_finished=lambda cached: self._finish(
                 sender, job, on_answer, cached
             ),
-            on_cut=lambda: self._cut(sender, job),
+            on_cut=lambda: self._handle_cut(sender, job),
         )
         self.ledger.record_send(name)
         target.receive(job)
@@ -161,9 +161,9 @@
         job = self.engines[endpoint].jobs.get(request_id)
         if job is not None:
             self.engines[endpoint].cancel(request_id)
-            self.ledger.record_job_end(job, whole=False)
+            self.ledger.record_job_end(job, completed=False)
 
-    def _give_first_token(self, sender: str, name: str) -> None:
+    def _deliver_first_token(self, sender: str, name: str) -> None:
         assert self._policy is not None
         self.ledger.record_first_token(name, self.clock.now)
         self._policy.take_first_token(sender, name)
@@ -177,7 +177,7 @@
     ) -> None:
         assert self._policy is not None
         late = self.clock.now > job.request.deadline
-        self.ledger.record_job_end(job, whole=not late)
+        self.ledger.record_job_end(job, completed=not late)
         self.clock.call_later(HOP_SECONDS, on_answer)
         self.clock.call_later(
             HOP_SECONDS,
@@ -188,9 +188,9 @@
             cached,
         )
 
-    def _cut(self, sender: str, job: engine.Job) -> None:
+    def _handle_cut(self, sender: str, job: engine.Job) -> None:
         assert self._policy is not None
-        self.ledger.record_job_end(job, whole=False)
+        self.ledger.record_job_end(job, completed=False)
         name = job.request.request_id
         self.clock.call_later(HOP_SECONDS, self._fail_sent, sender, name)
 
@@ -240,7 +240,7 @@
         assert self._policy is not None
         match fault.kind:
             case "slow":
-                self.engines[fault.target].slow = fault.value
+                self.engines[fault.target].slowdown = fault.value
             case "cold":
                 self.engines[fault.target].enter_cold_start(restart=False)
             case "restart":
--- a/measures/decisions/timeline.py
+++ b/measures/decisions/timeline.py
@@ -15,17 +15,17 @@
         self._sequence = itertools.count()
 
     def call_at(
-        self, time: float, call: collections.abc.Callable, *args: Any
+        self, time: float, function: collections.abc.Callable, *args: Any
     ) -> None:
         """Schedule a call at a time, or now if that has passed."""
         due = max(time, self.now)
-        heapq.heappush(self._due, (due, next(self._sequence), call, args))
+        heapq.heappush(self._due, (due, next(self._sequence), function, args))
 
     def call_later(
-        self, delay: float, call: collections.abc.Callable, *args: Any
+        self, delay: float, function: collections.abc.Callable, *args: Any
     ) -> None:
         """Schedule a call after a delay in seconds."""
-        self.call_at(self.now + delay, call, *args)
+        self.call_at(self.now + delay, function, *args)
 
     def run(self, until: float) -> None:
         """Run all calls that are due up to a time."""
--- a/measures/losses.py
+++ b/measures/losses.py
@@ -214,8 +214,8 @@
     late = row["late"] * (kind.worth - kind.late_worth)
     refused = row["refused"] * kind.worth
     failed = row["failed"] * kind.worth
-    owed = (row["n"] - row["not_owed"]) * kind.worth
-    lost = (1 - row["worth"]) * owed
+    attainable = (row["n"] - row["not_owed"]) * kind.worth
+    lost = (1 - row["worth"]) * attainable
     seen = late + refused + failed
     if not seen:
         return {UNEXPLAINED: lost} if lost > 0 else {}
@@ -254,10 +254,10 @@
         for kind in kinds
         if kind.name in rows
     }
-    whole = sum(sum(part.values()) for part in losses.values())
+    total_loss = sum(sum(part.values()) for part in losses.values())
     parts = {name: (weight, got) for name, weight, got in report["parts"]}
     weight, got = parts.pop("whole day")
-    scale = weight * (1 - got) / whole if whole else 0.0
+    scale = weight * (1 - got) / total_loss if total_loss else 0.0
     table = {
         name: {why: amount * scale for why, amount in part.items()}
         for name, part in losses.items()
--- a/measures/path_load.py
+++ b/measures/path_load.py
@@ -78,13 +78,13 @@
         for n in range(streams)
     ]
     gevent.joinall(tasks)
-    whole = [task.get() for task in tasks if task.get()]
+    complete = [task.get() for task in tasks if task.get()]
     return LoadResult(
-        count=len(whole) * tokens,
-        failed=streams - len(whole),
+        count=len(complete) * tokens,
+        failed=streams - len(complete),
         seconds=time.monotonic() - start,
-        p95_gap=_find_p95([g for times in whole for g in times[1:]]),
-        p95_first=_find_p95([times[0] for times in whole]),
+        p95_gap=_find_p95([g for times in complete for g in times[1:]]),
+        p95_first=_find_p95([times[0] for times in complete]),
     )
 
 
@@ -122,7 +122,7 @@
     while time.monotonic() < end:
         sock.sendall(payload)
         data = sock.recv(READ_BYTES)
-        while data and not _is_whole(data):
+        while data and not _is_complete(data):
             data += sock.recv(READ_BYTES)
         if data.startswith(b"HTTP/1.1 200"):
             done += 1
@@ -132,7 +132,7 @@
     return done, failed
 
 
-def _is_whole(data: bytes) -> bool:
+def _is_complete(data: bytes) -> bool:
     head, separator, body = data.partition(HEAD_END)
     if not separator:
         return False
