--- a/measures/decisions/baselines.py
+++ b/measures/decisions/baselines.py
@@ -99,16 +99,16 @@
             self._requests.pop(request.request_id)
             self._site.refuse(request.request_id, errors.Code.NO_ENDPOINT)
             return
-        endpoint = usable[next(self._sequence) % len(usable)]
+        target = usable[next(self._sequence) % len(usable)]
         if self._by_report:
-            endpoint = min(usable, key=self._get_load)
+            target = min(usable, key=self._get_load)
         name = request.request_id
-        self._endpoints[name] = endpoint
+        self._endpoints[name] = target
         self._site.send(
             "any",
             request,
-            endpoint,
-            self._incarnations[endpoint],
+            target,
+            self._incarnations[target],
             lambda: self._site.ledger.record_answer(
                 name, self._site.clock.now
             ),
