--- a/measures/capacity/catalogue.py
+++ b/measures/capacity/catalogue.py
@@ -1,4 +1,4 @@
-"""Cost of the catalogue and of its changes, by its size."""
+"""Cost of the catalogue and of its changes, by the number of endpoints."""
 
 import copy
 import dataclasses
@@ -21,7 +21,7 @@
 from measures.capacity import slopes
 
 SIZES = (600, 1500, 3000, 5100)
-AIM = 5100
+TARGET_ENDPOINTS = 5100
 ENTRIES = 740
 DATA_CENTRES = 19
 INSTANCES = 510
@@ -29,7 +29,7 @@
 
 
 def make_document(endpoints: int, version: int = 1) -> dict[str, Any]:
-    """Return a catalogue; entries grow with the endpoints."""
+    """Return a catalogue whose entries grow with the endpoints."""
     return {
         "version": version,
         "key_salt": "salt-of-the-measure",
@@ -43,7 +43,7 @@
                 "key_sha256": f"{n:064x}",
                 "limits": {"concurrency": 40},
             }
-            for n in range(ENTRIES * endpoints // AIM)
+            for n in range(ENTRIES * endpoints // TARGET_ENDPOINTS)
         ],
     }
 
@@ -62,7 +62,7 @@
 
 
 def make_members() -> dict[str, ownership.Member]:
-    """Return the instances of the aimed size."""
+    """Return the instances of a fleet of the target size."""
     return {
         f"entry-{n}": ownership.Member(
             name=f"entry-{n}", data_centre=f"dc-{n % DATA_CENTRES}"
@@ -72,7 +72,7 @@
 
 
 def publish(document: dict[str, Any], text: str = "") -> client.Published:
-    """Return a document as the platform publishes it."""
+    """Return a document in the form in which the platform publishes it."""
     return client.Published(
         path=PATH,
         version=document["version"],
@@ -89,7 +89,7 @@
             by="endpoints",
             sizes=list(SIZES),
             values=[row[name] for row in rows],
-            aim=AIM,
+            aim=TARGET_ENDPOINTS,
         )
         for name in rows[0]
     ]
@@ -101,25 +101,25 @@
     as_yaml = yaml.safe_dump(first)
     as_json = json.dumps(first)
     row = {"catalogue, bytes of JSON": float(len(as_json))}
-    row["whole YAML taken, s"] = _time_offer(publish(first, as_yaml))
-    row["whole JSON taken, s"] = _time_offer(publish(first, as_json))
-    holder = store.Store()
-    holder.apply(publish(first))
+    row["whole YAML taken, s"] = _time_apply(publish(first, as_yaml))
+    row["whole JSON taken, s"] = _time_apply(publish(first, as_json))
+    source = store.Store()
+    source.apply(publish(first))
     peer = store.Store()
     peer.apply(publish(first))
-    holder.apply(publish(second))
-    (found,) = holder.find_deltas(PATH, 1)
-    encoded = encode(found)
+    source.apply(publish(second))
+    (difference,) = source.find_deltas(PATH, 1)
+    encoded = encode(difference)
     row["one change to a peer, bytes"] = float(len(encoded))
     began = time.process_time()
-    peer.apply_delta(PATH, found)
+    peer.apply_delta(PATH, difference)
     row["one change taken, s"] = time.process_time() - began
-    row.update(_measure_owners(first, holder))
+    row.update(_measure_owners(first, source))
     row["control state, MB"] = _measure_memory(as_json)
     return row
 
 
-def _time_offer(published: client.Published) -> float:
+def _time_apply(published: client.Published) -> float:
     began = time.process_time()
     store.Store().apply(published)
     return time.process_time() - began
@@ -144,7 +144,7 @@
     assert holder.fleet is not None
     scheduler.handle(models.FleetChanged(fleet=holder.fleet), 0.0)
     scheduler.handle(owners.get_ownership(1.0), 1.0)
-    told = time.process_time() - began
+    first_fleet_seconds = time.process_time() - began
     fleet = dataclasses.replace(
         holder.fleet,
         version=holder.fleet.version + 1,
@@ -155,7 +155,7 @@
     return {
         "owners ranked at a start, s": start,
         "instance gone, owners ranked, s": change_seconds,
-        "scheduler told of its first fleet, s": told,
+        "scheduler told of its first fleet, s": first_fleet_seconds,
         "scheduler told of a change, s": time.process_time() - began,
     }
 
@@ -181,7 +181,7 @@
 
 
 def change(document: dict[str, Any], count: int) -> dict[str, Any]:
-    """Return the next version, some endpoints changed."""
+    """Return the next version with the first ``count`` endpoints changed."""
     changed = copy.deepcopy(document)
     changed["version"] += 1
     for endpoint in changed["endpoints"][:count]:
@@ -189,31 +189,31 @@
     return changed
 
 
-def encode(found: delta.Delta) -> bytes:
-    """Return a difference as it goes to a peer."""
+def encode(difference: delta.Delta) -> bytes:
+    """Return a delta encoded as a message to a peer."""
     return messages.encode(
         messages.Difference(
             path=PATH,
-            base=found.base,
-            version=found.version,
-            fields=found.fields,
-            items=found.items,
-            dropped=found.dropped,
-            checksum=found.checksum,
+            base=difference.base,
+            version=difference.version,
+            fields=difference.fields,
+            items=difference.items,
+            dropped=difference.dropped,
+            checksum=difference.checksum,
         )
     )
 
 
 def compare_updates() -> dict[str, float]:
-    """Compare whole value, differences and a set-difference sketch."""
-    first = make_document(AIM)
+    """Compare the size of the full value, deltas and a sketch."""
+    first = make_document(TARGET_ENDPOINTS)
     found: dict[str, float] = {}
     for changes in (1, 12, 288):
         second = change(first, changes)
         one = delta.make_delta(first, change(first, 1), 1, 2)
         chain = len(encode(one)) * changes
         began = time.process_time()
-        size, rest = sketch.exchange(first, second)
+        size, rest = sketch.reconcile(first, second)
         seconds = time.process_time() - began
         assert rest == 2 * changes
         found[f"{changes} changes, whole value, bytes"] = len(
--- a/measures/capacity/messages.py
+++ b/measures/capacity/messages.py
@@ -1,4 +1,4 @@
-"""Cost of what instances tell each other, and how far it has to go."""
+"""Cost of reports between instances, and the hops that a change takes."""
 
 import dataclasses
 import time
@@ -9,17 +9,17 @@
 from citronport.scheduler import models
 from measures.capacity import slopes
 
-USERS = (0, 50, 100, 200)
-AIM_USERS = 80
-"""Entries with work at one instance: 740 workspaces, spread by the lookup
-over a few instances each."""
+ENTRY_COUNTS = (0, 50, 100, 200)
+TARGET_ENTRY_COUNT = 80
+"""Active entries of one instance: there are 740 workspaces, and the lookup
+spreads each over a few instances."""
 
-FLEETS = (24, 64, 170, 510)
+FLEET_SIZES = (24, 64, 170, 510)
 ROUNDS = 300
 
 
 def make_report(entries: int) -> messages.Report:
-    """Return a report of an instance with so many active entries."""
+    """Return the report of an instance with a number of active entries."""
     names = [f"workspace-{n}-class-1" for n in range(entries)]
     summary = models.InstanceSummary(
         instance="entry-123",
@@ -43,28 +43,28 @@
 
 def measure() -> list[slopes.Series]:
     """Return the series by active entries and by instances."""
-    sizes = [len(messages.encode(make_report(n))) for n in USERS]
-    costs = [_time_report(n) for n in USERS]
-    links = [_count_links(n) for n in FLEETS]
+    sizes = [len(messages.encode(make_report(n))) for n in ENTRY_COUNTS]
+    costs = [_time_report(n) for n in ENTRY_COUNTS]
+    links = [_count_links(n) for n in FLEET_SIZES]
     return [
         slopes.Series(
             name="report, bytes",
             by="entries with work",
-            sizes=list(USERS),
+            sizes=list(ENTRY_COUNTS),
             values=[float(size) for size in sizes],
-            aim=AIM_USERS,
+            aim=TARGET_ENTRY_COUNT,
         ),
         slopes.Series(
             name="report made and read, s",
             by="entries with work",
-            sizes=list(USERS),
+            sizes=list(ENTRY_COUNTS),
             values=costs,
-            aim=AIM_USERS,
+            aim=TARGET_ENTRY_COUNT,
         ),
         slopes.Series(
             name="links of an instance",
             by="instances (grows with the logarithm)",
-            sizes=list(FLEETS),
+            sizes=list(FLEET_SIZES),
             values=links,
             aim=510,
         ),
@@ -93,7 +93,7 @@
 
 
 def count_hops() -> dict[str, float]:
-    """Return how many hops a change takes to reach all 510 instances."""
+    """Return the number of hops for a change to reach all 510 instances."""
     chosen = _choose(510)
     linked = {name: set(found) for name, found in chosen.items()}
     for name, found in chosen.items():
@@ -101,11 +101,11 @@
             linked[other].add(name)
     start = min(chosen)
     reached = {start}
-    edge = {start}
+    frontier = {start}
     hops = 0
     while len(reached) < 510:
-        edge = {n for name in edge for n in linked[name]} - reached
-        reached |= edge
+        frontier = {n for name in frontier for n in linked[name]} - reached
+        reached |= frontier
         hops += 1
     return {
         "hops to reach 510 instances": hops,
--- a/measures/decisions/__init__.py
+++ b/measures/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: every load against every policy."""
+"""Scheduling quality of each policy under each simulated load."""
 
 import concurrent.futures
 import json as json_module
@@ -22,7 +22,7 @@
     "clairvoyant",
 )
 WORKERS = 5
-"""Runs at once; a run is one process that ends by itself."""
+"""Concurrent worker processes, each of which simulates one run at a time."""
 
 
 def run(
@@ -32,14 +32,14 @@
     policy: str = "",
     plot: str = "",
 ) -> None:
-    """Measure the decisions under load.
+    """Simulate each load with each policy and report the results.
 
     Args:
-        json: file for the figures.
-        load: only this load.
+        json: file to write the figures to.
+        load: run only this load.
         seeds: number of seeds.
-        policy: only this policy; "independent" has no owners.
-        plot: file for the plot (PNG).
+        policy: run only this policy; "independent" has no endpoint owners.
+        plot: file to write the plot to (PNG).
     """
     names = [load] if load else list(loads.LOADS)
     policies = [policy] if policy else list(POLICIES)
@@ -56,13 +56,13 @@
         with open(json, "w") as file:
             json_module.dump([r for r in rows if not r["variant"]], file)
     report.print_table(rows)
-    aims.print_aims(rows)
+    aims.print_targets(rows)
     if plot:
         report.draw_plot(rows, plot)
 
 
 def _get_variants(load: str, policy: str) -> tuple[str, ...]:
-    # Two aims compare the project with itself on a smaller load.
+    # Some targets compare citronport with itself on a reduced load.
     if policy != "citronport":
         return ("",)
     match load:
@@ -75,13 +75,13 @@
 
 
 def measure(job: tuple[str, str, int, str]) -> dict[str, Any]:
-    """Run one load with one policy and return its figures."""
+    """Simulate one load with one policy and return its figures."""
     name, policy, seed, variant = job
     load = loads.LOADS[name](seed)
     if variant == "without":
-        load = loads.leave_out(load, "engine-1")
+        load = loads.remove_endpoint(load, "engine-1")
     if variant == "alone":
-        load = loads.keep_small(load)
+        load = loads.keep_small_workspaces(load)
     site = site_module.Site(load)
     began = time.process_time()
     site.run(_make_policy(policy, site))
@@ -90,7 +90,7 @@
         "policy": policy,
         "seed": seed,
         "variant": variant,
-        **site.ledger.sum_up(),
+        **site.ledger.summarize(),
         "cold_overloads": sum(e.overloads for e in site.engines.values()),
         "received_cold": sum(e.received_cold for e in site.engines.values()),
         "inversion_cases": {
@@ -106,15 +106,15 @@
         case "citronport":
             return instances.Instances(site, core.Scheduler)
         case "earlier":
-            # It scans its whole queue at each event.
+            # It scans its whole queue at each event, so it gets fewer ticks.
             return instances.Instances(site, earlier.Scheduler, tick=1.0)
         case "independent":
             return instances.Instances(site, core.Scheduler, independent=True)
         case "round_robin":
-            return baselines.Simple(site, by_report=False)
+            return baselines.ImmediateDispatch(site, by_report=False)
         case "least_reported":
-            return baselines.Simple(site, by_report=True)
+            return baselines.ImmediateDispatch(site, by_report=True)
         case "clairvoyant":
             return baselines.Clairvoyant(site)
         case _:
-            raise ValueError(f"there is no policy {policy!r}")
+            raise ValueError(f"unknown policy {policy!r}")
--- a/measures/decisions/loads.py
+++ b/measures/decisions/loads.py
@@ -1,4 +1,4 @@
-"""The loads: who sends what when, and what goes wrong meanwhile."""
+"""Simulated loads: arrivals of requests, and injected faults."""
 
 import collections.abc
 import dataclasses
@@ -6,71 +6,95 @@
 
 from citronport.scheduler import models
 
-SECONDS = 90.0
-"""Length of each load."""
+LOAD_SECONDS = 90.0
+"""Duration of each load."""
 
-CAPACITY = 36.0
-"""Requests a second of the usual mix that the engines bear, measured."""
+CAPACITY_PER_SECOND = 36.0
+"""Measured capacity of the engines for the standard mix, requests/s."""
 
-LARGE_SHARE = {"ws-1": 0.4, "ws-2": 0.3, "ws-3": 0.1, "ws-4": 0.1, "ws-5": 0.1}
-SKEWED_SHARE = {
+WORKSPACE_SHARES = {
+    "ws-1": 0.4,
+    "ws-2": 0.3,
+    "ws-3": 0.1,
+    "ws-4": 0.1,
+    "ws-5": 0.1,
+}
+SKEWED_WORKSPACE_SHARES = {
     "ws-1": 0.8,
     "ws-2": 0.05,
     "ws-3": 0.05,
     "ws-4": 0.05,
     "ws-5": 0.05,
 }
-SYSTEM_BLOCKS = 4
-"""Blocks of 128 tokens that all requests of a workspace begin with."""
+SYSTEM_PROMPT_BLOCKS = 4
+"""Blocks of 128 tokens in the common prefix of a workspace's requests."""
 
 MAX_TOKENS = 1024
-"""What callers let an answer take; most answers are far shorter."""
+"""Token limit that callers set; most answers are far shorter."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Work:
-    """One kind of work; tokens are (lowest, highest)."""
+class WorkKind:
+    """A kind of request; ranges are (lowest, highest)."""
 
     tier: int
     share: float
-    blocks: tuple[int, int]
+    prompt_blocks: tuple[int, int]
     output: tuple[int, int]
-    seconds: float
+    deadline_seconds: float
     model: str = "floor"
-    documents: int = 0
+    document_count: int = 0
 
 
-MIX = (
-    Work(tier=0, share=0.35, blocks=(1, 2), output=(8, 30), seconds=4),
-    Work(tier=0, share=0.10, blocks=(1, 4), output=(20, 40), seconds=6),
-    Work(tier=1, share=0.30, blocks=(2, 8), output=(40, 120), seconds=15),
-    Work(
+WORK_KINDS = (
+    WorkKind(
+        tier=0,
+        share=0.35,
+        prompt_blocks=(1, 2),
+        output=(8, 30),
+        deadline_seconds=4,
+    ),
+    WorkKind(
+        tier=0,
+        share=0.10,
+        prompt_blocks=(1, 4),
+        output=(20, 40),
+        deadline_seconds=6,
+    ),
+    WorkKind(
+        tier=1,
+        share=0.30,
+        prompt_blocks=(2, 8),
+        output=(40, 120),
+        deadline_seconds=15,
+    ),
+    WorkKind(
         tier=2,
         share=0.17,
-        blocks=(20, 40),
+        prompt_blocks=(20, 40),
         output=(100, 300),
-        seconds=30,
-        documents=6,
+        deadline_seconds=30,
+        document_count=6,
     ),
-    Work(
+    WorkKind(
         tier=3,
         share=0.08,
-        blocks=(60, 140),
+        prompt_blocks=(60, 140),
         output=(200, 600),
-        seconds=60,
+        deadline_seconds=60,
         model="draft",
-        documents=4,
+        document_count=4,
     ),
 )
-"""Status reads and reservations; farmer answers; summaries; long reviews."""
+"""Status reads, reservations, answers, summaries and long reviews."""
 
-LONG_SHARE = (0.40, 0.05, 0.20, 0.15, 0.20)
-"""Shares of the same kinds where long work meets short work."""
+LONG_WORK_MIX = (0.40, 0.05, 0.20, 0.15, 0.20)
+"""Shares of the same kinds in the load that mixes long and short work."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """A request and its true length."""
+    """A request, its arrival time and the true length of its answer."""
 
     time: float
     request: models.Request
@@ -79,13 +103,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fault:
-    """Something that happens at a time.
+    """A fault that is injected at a time.
 
     Attributes:
         time: seconds.
-        kind: see ``fleet.Fleet.strike``.
-        target: name of what it hits.
-        value: how hard, or for how long.
+        kind: see ``site.Site._inject_fault``.
+        target: name of the affected engine, data centre or instance.
+        value: severity, or duration in seconds.
     """
 
     time: float
@@ -96,17 +120,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """One run's arrivals, faults and engines."""
+    """Arrivals, faults and settings of one run."""
 
     name: str
     arrivals: tuple[Arrival, ...]
     faults: tuple[Fault, ...] = ()
     report_lag: float = 0.5
-    without: tuple[str, ...] = ()
+    excluded_endpoints: tuple[str, ...] = ()
 
 
 def make_endpoints() -> dict[str, models.Endpoint]:
-    """Return ten unlike engines in four data centres."""
+    """Return ten engines of three kinds in four data centres."""
     shapes = (
         *((10_000.0, 60.0, 16, 400_000),) * 3,
         *((6000.0, 40.0, 12, 200_000),) * 4,
@@ -116,7 +140,7 @@
         models.Endpoint(
             name=f"engine-{number}",
             kind=models.Kind.ENGINE,
-            # Three engines of the second kind serve short work only.
+            # Three engines serve short work only.
             models=("floor",) if number in (3, 5, 7) else ("floor", "draft"),
             data_centre=f"dc-{number % 4 + 1}",
             address="127.0.0.1:1",
@@ -135,13 +159,13 @@
 def make_fleet(
     endpoints: dict[str, models.Endpoint], version: int = 1, out: str = ""
 ) -> models.Fleet:
-    """Return the catalogue's value."""
+    """Return a catalogue, optionally with one data centre out."""
     centres = [f"dc-{n}" for n in range(1, 5)]
     entries = [
         models.Entry(
             name=f"{workspace}-{tier}", workspace=workspace, tier=tier
         )
-        for workspace in LARGE_SHARE
+        for workspace in WORKSPACE_SHARES
         for tier in range(4)
     ]
     return models.Fleet(
@@ -155,14 +179,14 @@
     )
 
 
-def draw(
+def draw_arrivals(
     seed: int,
     rate: collections.abc.Callable[[float], float],
-    shares: dict[str, float] = LARGE_SHARE,
-    mix: tuple[float, ...] = tuple(w.share for w in MIX),
-    seconds: float = SECONDS,
+    shares: dict[str, float] = WORKSPACE_SHARES,
+    mix: tuple[float, ...] = tuple(w.share for w in WORK_KINDS),
+    seconds: float = LOAD_SECONDS,
 ) -> tuple[Arrival, ...]:
-    """Draw Poisson arrivals; ``rate`` gives requests a second at a time."""
+    """Draw Poisson arrivals; ``rate`` maps a time to requests per second."""
     source = random.Random(seed)
     peak = max(rate(t * 0.5) for t in range(int(seconds * 2)))
     arrivals = []
@@ -174,31 +198,33 @@
             return tuple(arrivals)
         if source.random() * peak > rate(time):
             continue
-        work = source.choices(MIX, mix)[0]
+        work = source.choices(WORK_KINDS, mix)[0]
         workspace = source.choices(list(shares), list(shares.values()))[0]
         arrivals.append(
-            _draw_one(source, work, workspace, time, len(arrivals), documents)
+            _draw_arrival(
+                source, work, workspace, time, len(arrivals), documents
+            )
         )
 
 
-def _draw_one(
+def _draw_arrival(
     source: random.Random,
-    work: Work,
+    work: WorkKind,
     workspace: str,
     time: float,
     number: int,
     documents: dict[tuple[str, int], list[tuple[int, int]]],
 ) -> Arrival:
     first = int(workspace.removeprefix("ws-")) * 1_000_000_000
-    prefix = [first + n for n in range(SYSTEM_BLOCKS)]
+    prefix = [first + n for n in range(SYSTEM_PROMPT_BLOCKS)]
     tail = first + 500_000_000 + number * 1000
-    blocks = source.randint(*work.blocks)
-    if work.documents:
+    blocks = source.randint(*work.prompt_blocks)
+    if work.document_count:
         pool = documents.setdefault((workspace, work.tier), [])
         if not pool or source.random() < 1 / 4:
-            # A document is used about four times, then others come.
+            # Each document is used about four times on average.
             pool.append((tail, blocks))
-            del pool[: -work.documents]
+            del pool[: -work.document_count]
         tail, blocks = source.choice(pool)
         prefix += [tail + n for n in range(blocks)]
         prefix += [first + 700_000_000 + number]
@@ -213,7 +239,7 @@
         prompt_tokens=len(prefix) * 128 + source.randint(1, 127),
         max_tokens=MAX_TOKENS,
         prefix=tuple(prefix),
-        deadline=time + work.seconds,
+        deadline=time + work.deadline_seconds,
     )
     return Arrival(
         time=time,
@@ -224,38 +250,42 @@
 
 def _burst(seed: int) -> Load:
     def rate(time: float) -> float:
-        return CAPACITY * (3.0 if time % 30 > 24 else 0.6)
+        return CAPACITY_PER_SECOND * (3.0 if time % 30 > 24 else 0.6)
 
-    return Load(name="burst", arrivals=draw(seed, rate))
+    return Load(name="burst", arrivals=draw_arrivals(seed, rate))
 
 
 def _skew(seed: int) -> Load:
-    arrivals = draw(seed, lambda t: CAPACITY * 1.5, SKEWED_SHARE)
+    arrivals = draw_arrivals(
+        seed, lambda t: CAPACITY_PER_SECOND * 1.5, SKEWED_WORKSPACE_SHARES
+    )
     return Load(name="skew", arrivals=arrivals)
 
 
 def _slow_endpoint(seed: int) -> Load:
     return Load(
         name="slow_endpoint",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(Fault(time=15, kind="slow", target="engine-1", value=5),),
     )
 
 
 def _mixed_lengths(seed: int) -> Load:
-    arrivals = draw(seed, lambda t: CAPACITY * 0.6, mix=LONG_SHARE)
+    arrivals = draw_arrivals(
+        seed, lambda t: CAPACITY_PER_SECOND * 0.6, mix=LONG_WORK_MIX
+    )
     return Load(name="mixed_lengths", arrivals=arrivals)
 
 
 def _saturation(seed: int) -> Load:
-    arrivals = draw(seed, lambda t: CAPACITY * 2)
+    arrivals = draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 2)
     return Load(name="saturation", arrivals=arrivals)
 
 
 def _dc_leave_return(seed: int) -> Load:
     return Load(
         name="dc_leave_return",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(
             Fault(time=25, kind="dc_out", target="dc-2"),
             Fault(time=55, kind="dc_in", target="dc-2"),
@@ -276,7 +306,7 @@
     )
     return Load(
         name="cold_restart",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=faults,
     )
 
@@ -284,7 +314,7 @@
 def _stale_reports(seed: int) -> Load:
     return Load(
         name="stale_reports",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.8),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.8),
         faults=(
             Fault(time=30, kind="reports_off"),
             Fault(time=60, kind="reports_on"),
@@ -296,7 +326,7 @@
 def _platform_down(seed: int) -> Load:
     return Load(
         name="platform_down",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(
             Fault(time=15, kind="platform_down"),
             Fault(time=25, kind="dc_out", target="dc-2"),
@@ -310,7 +340,7 @@
 def _late_waker(seed: int) -> Load:
     return Load(
         name="late_waker",
-        arrivals=draw(seed, lambda t: CAPACITY * 0.7),
+        arrivals=draw_arrivals(seed, lambda t: CAPACITY_PER_SECOND * 0.7),
         faults=(
             Fault(time=25, kind="freeze", target="entry-2", value=15),
             Fault(time=33, kind="cold", target="engine-0"),
@@ -333,13 +363,13 @@
 }
 
 
-def leave_out(load: Load, endpoint: str) -> Load:
-    """Return the same load without one engine and without its faults."""
-    return dataclasses.replace(load, faults=(), without=(endpoint,))
+def remove_endpoint(load: Load, endpoint: str) -> Load:
+    """Return the same load without one engine and without any faults."""
+    return dataclasses.replace(load, faults=(), excluded_endpoints=(endpoint,))
 
 
-def keep_small(load: Load) -> Load:
-    """Return what the small workspaces send, alone."""
+def keep_small_workspaces(load: Load) -> Load:
+    """Return the same load with only the requests of small workspaces."""
     small = ("ws-2", "ws-3", "ws-4", "ws-5")
     kept = tuple(a for a in load.arrivals if a.request.workspace in small)
     return dataclasses.replace(load, arrivals=kept)
--- a/measures/losses.py
+++ b/measures/losses.py
@@ -1,9 +1,10 @@
-"""Where a day of the users' bench loses its worth, and for what reason.
+"""Breaks down the score that a simulated day loses, by reason.
 
-Reads what one played day leaves: the bench's report, the sheet of the
-deployment, and the lines that the instances wrote. The report knows what
-each kind of request earned and what was taken off; the lines know why a
-request waited, was refused or was cut. The shares add up to the whole.
+Reads the output of one run of the users' test bench: its report, the sheet
+that describes the deployment, and the log lines of the instances. The report
+gives the score of each kind of request and the deductions; the log lines
+give the reason why a request waited, was refused or was cut. The losses sum
+to the score that is missing.
 
 Usage: script/measure losses SHEET REPORT LINES [--json FILE]
 """
@@ -19,15 +20,17 @@
 from citronport import errors
 
 WAITED_SHARE = 0.5
-"""Share of the objective from which on a wait here, and not the endpoint,
-made an answer late."""
+"""Late answers that waited here for more than this share of the objective
+are attributed to the wait, others to the endpoint."""
 
-UNSEEN = "no line of an instance tells why"
+UNEXPLAINED = "no line of an instance tells why"
 
-PREPAID = "cost of running: machines, processor, memory, links, store"
-"""Prices of what is in use, whatever becomes of the requests."""
+RUNNING_COST_LABEL = (
+    "cost of running: machines, processor, memory, links, store"
+)
+"""Label of the prices that do not depend on the outcome of requests."""
 
-RUNNING_COSTS = frozenset(
+RUNNING_COST_PRICES = frozenset(
     {
         "machine-seconds",
         "processor seconds",
@@ -39,22 +42,22 @@
         "probes and requests without id",
     }
 )
-"""The bench's names of these prices."""
+"""Names of these prices in the report of the bench."""
 
 Reasons = collections.Counter[str]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Kind:
-    """A kind of request, as the sheet tells it.
+class RequestKind:
+    """A kind of request, as the sheet describes it.
 
     Attributes:
-        name: on the sheet.
-        repeat: what may be sent twice, in this project's words.
-        objective: seconds.
-        prompt: mean tokens to read; 0 for a plain request.
-        worth: of an answer in time.
-        late_worth: of a late one.
+        name: its name in the sheet.
+        repeat: whether it may be repeated, as log lines spell it.
+        objective: latency objective, seconds.
+        prompt: mean prompt tokens; 0 for a plain HTTP request.
+        worth: score of an answer in time.
+        late_worth: score of a late answer.
     """
 
     name: str
@@ -65,20 +68,20 @@
     late_worth: float
 
 
-REPEATS = {
+REPEAT_BY_SHEET_KIND = {
     "stream": "stream",
     "unsafe": "non-idempotent",
     "safe": "idempotent",
 }
-"""The sheet's words for what may be sent twice."""
+"""Values of ``repeat`` in log lines, by the kind in the sheet."""
 
 
-def read_kinds(sheet: dict[str, Any]) -> list[Kind]:
-    """Return the kinds of request of a sheet."""
+def read_kinds(sheet: dict[str, Any]) -> list[RequestKind]:
+    """Return the kinds of request that a sheet lists."""
     return [
-        Kind(
+        RequestKind(
             name=row["name"],
-            repeat=REPEATS[row["kind"]],
+            repeat=REPEAT_BY_SHEET_KIND[row["kind"]],
             objective=row["aim_ms"] / 1000,
             prompt=row.get("stream", {})
             .get("prompt_tokens", {})
@@ -91,7 +94,7 @@
 
 
 def read_lines(text: str) -> collections.abc.Iterator[dict[str, Any]]:
-    """Return the instances' lines; others in the file are passed over."""
+    """Yield the log lines of instances; skip all other lines."""
     for line in text.splitlines():
         start = line.find('{"at"')
         if start < 0:
@@ -99,17 +102,17 @@
         try:
             yield json.loads(line[start:])
         except json.JSONDecodeError:
-            # The bench cuts what a killed process had half written.
+            # A killed process leaves a truncated last line.
             continue
 
 
-def find_routes(
-    lines: list[dict[str, Any]], kinds: list[Kind]
-) -> dict[str, Kind]:
+def match_routes(
+    lines: list[dict[str, Any]], kinds: list[RequestKind]
+) -> dict[str, RequestKind]:
     """Return the kind of request that each route carries.
 
-    Names of routes are new each day: a route is known by what may be
-    repeated, its objective and the mean length of its prompts.
+    Route names change with each run, so a route is identified by whether
+    its requests may be repeated, its objective and its mean prompt length.
     """
     prompts: dict[str, float] = {
         line["request"]: line["prompt"]
@@ -141,8 +144,8 @@
     return found
 
 
-def name_reason(line: dict[str, Any]) -> tuple[str, str] | None:
-    """Return how a request ended and why; None if it was in time."""
+def classify_outcome(line: dict[str, Any]) -> tuple[str, str] | None:
+    """Return the outcome and reason of a loss; None if in time."""
     objective = line["objective"]
     match line["outcome"]:
         case "answered" if line["status"] >= 500:
@@ -168,10 +171,10 @@
             return ("failed", "the caller left")
 
 
-def gather_reasons(
-    lines: list[dict[str, Any]], routes: dict[str, Kind]
+def count_reasons(
+    lines: list[dict[str, Any]], routes: dict[str, RequestKind]
 ) -> dict[tuple[str, str], Reasons]:
-    """Count reasons by kind of request and outcome."""
+    """Count the reasons of losses by kind of request and outcome."""
     counts: dict[tuple[str, str], Reasons] = collections.defaultdict(
         collections.Counter
     )
@@ -180,7 +183,7 @@
         found = None
         if line["event"] == "request_ended":
             kind = routes.get(line["route"])
-            found = name_reason(line)
+            found = classify_outcome(line)
         elif line["event"] == "request_refused":
             kind = routes.get(line["route"])
             name = errors.Code(line["code"]).name.lower()
@@ -190,30 +193,32 @@
     return counts
 
 
-def split(amount: float, reasons: Reasons) -> dict[str, float]:
-    """Divide a loss among reasons as often as each was seen."""
+def divide_loss(amount: float, reasons: Reasons) -> dict[str, float]:
+    """Divide a loss among reasons in proportion to their counts."""
     total = sum(reasons.values())
     if not total:
-        return {UNSEEN: amount} if amount else {}
+        return {UNEXPLAINED: amount} if amount else {}
     return {why: amount * n / total for why, n in reasons.items()}
 
 
-def list_losses(
-    kind: Kind, row: dict[str, Any], reasons: dict[tuple[str, str], Reasons]
+def compute_kind_losses(
+    kind: RequestKind,
+    row: dict[str, Any],
+    reasons: dict[tuple[str, str], Reasons],
 ) -> dict[str, float]:
-    """Return what a kind of request lost, by reason, in its worth.
+    """Return the score that a kind of request lost, by reason.
 
-    The report's own sum holds the sizes of the requests; the counts of
-    outcomes only divide it.
+    The total comes from the report, which weighs requests by size; the
+    counts of outcomes only divide it.
     """
     late = row["late"] * (kind.worth - kind.late_worth)
     refused = row["refused"] * kind.worth
     failed = row["failed"] * kind.worth
-    owed = (row["n"] - row["not_owed"]) * kind.worth
-    lost = (1 - row["worth"]) * owed
+    attainable = (row["n"] - row["not_owed"]) * kind.worth
+    lost = (1 - row["worth"]) * attainable
     seen = late + refused + failed
     if not seen:
-        return {UNSEEN: lost} if lost > 0 else {}
+        return {UNEXPLAINED: lost} if lost > 0 else {}
     scale = lost / seen
     found: dict[str, float] = collections.defaultdict(float)
     for outcome, amount in (
@@ -230,29 +235,29 @@
                     "failed": {"no instance was reached or it died": unseen},
                 }[outcome]
             )
-        for why, part in split(amount * scale, counts).items():
+        for why, part in divide_loss(amount * scale, counts).items():
             found[f"{outcome}: {why}"] += part
     return dict(found)
 
 
-def add_up(
+def compute_losses(
     sheet: dict[str, Any],
     report: dict[str, Any],
     lines: list[dict[str, Any]],
 ) -> dict[str, dict[str, float]]:
-    """Return all that keeps a day's worth below one, by part and reason."""
+    """Return everything that keeps the score below 1, by part and reason."""
     kinds = read_kinds(sheet)
-    reasons = gather_reasons(lines, find_routes(lines, kinds))
+    reasons = count_reasons(lines, match_routes(lines, kinds))
     rows = {row["name"]: row for row in report["classes"]}
     losses = {
-        kind.name: list_losses(kind, rows[kind.name], reasons)
+        kind.name: compute_kind_losses(kind, rows[kind.name], reasons)
         for kind in kinds
         if kind.name in rows
     }
-    whole = sum(sum(part.values()) for part in losses.values())
+    total_loss = sum(sum(part.values()) for part in losses.values())
     parts = {name: (weight, got) for name, weight, got in report["parts"]}
     weight, got = parts.pop("whole day")
-    scale = weight * (1 - got) / whole if whole else 0.0
+    scale = weight * (1 - got) / total_loss if total_loss else 0.0
     table = {
         name: {why: amount * scale for why, amount in part.items()}
         for name, part in losses.items()
@@ -261,7 +266,7 @@
         table[name] = {"below one": weight * (1 - got)}
     prices: dict[str, float] = collections.defaultdict(float)
     for name, _, taken in report["prices"]:
-        named = PREPAID if name in RUNNING_COSTS else name
+        named = RUNNING_COST_LABEL if name in RUNNING_COST_PRICES else name
         prices[named] += taken
     table["prices"] = {k: v for k, v in prices.items() if v > 0}
     return table
@@ -290,19 +295,19 @@
 
 
 def run(sheet: str, report: str, lines: str, json_file: str = "") -> None:
-    """Print where a played day lost its worth.
+    """Print the score that a simulated day lost, by reason.
 
     Args:
-        sheet: the deployment's file.
-        report: what the bench wrote of the day.
-        lines: its output with the lines of all instances.
-        json_file: where the table goes too.
+        sheet: file that describes the deployment (TOML).
+        report: report of the bench (JSON).
+        lines: output of the bench with the log lines of all instances.
+        json_file: file to write the table to.
     """
     with open(sheet, "rb") as file:
         described = tomllib.load(file)
     day = json.loads(pathlib.Path(report).read_text())
     text = pathlib.Path(lines).read_text(errors="replace")
-    table = add_up(described, day, list(read_lines(text)))
+    table = compute_losses(described, day, list(read_lines(text)))
     print(render(table, day["G"]))
     if json_file:
         pathlib.Path(json_file).write_text(json.dumps(table, indent=1))
--- a/measures/path.py
+++ b/measures/path.py
@@ -1,4 +1,4 @@
-"""Cost of the path: CPU time of a request and of a token, by way taken."""
+"""CPU time of a request and of a token, by request path."""
 
 import dataclasses
 import json as json_module
@@ -12,31 +12,32 @@
 from standins import processes
 
 ENGINES = 4
-BATCH = 512
-"""More than the connections: the measure is of cost, not of queues."""
+ENDPOINT_CONCURRENCY = 512
+"""Exceeds the number of connections, so that no request is queued."""
 
 CONNECTIONS = 32
-WARM_SECONDS = 2.0
-WARM_ROUNDS = 15
-PAUSE_SECONDS = 0.02
+WARM_UP_SECONDS = 2.0
+WARM_UP_ROUNDS = 15
+TOKEN_INTERVAL_SECONDS = 0.02
 RELAY = "relay"
-KEY = "measure-key"
+WORKSPACE_KEY = "measure-key"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Figure:
-    """Cost of one way; CPU time is that of the named processes.
+    """Cost of one request path; CPU time is that of the named processes.
 
     Attributes:
-        way: direct, relay, entry, or forward (two entries, each call at
-            the one that does not own the endpoint).
-        requests_per_second: whole calls in a closed loop.
-        cpu_seconds_per_request: of all processes of the way.
-        tokens_per_second: paced streams side by side.
-        cpu_seconds_per_token: of all processes of the way.
-        p95_gap_seconds: between two pieces of one stream.
-        p95_first_seconds: to the first piece of a stream.
-        failed: calls and streams without a whole answer.
+        way: name of the request path: direct, relay, entry, or forward
+            (two instances; each call goes to the one that does not own
+            the endpoint).
+        requests_per_second: complete calls in a closed loop.
+        cpu_seconds_per_request: of all processes of the path.
+        tokens_per_second: of concurrent, paced streams.
+        cpu_seconds_per_token: of all processes of the path.
+        p95_gap_seconds: between two chunks of one stream.
+        p95_first_seconds: to the first chunk of a stream.
+        failed: calls and streams without a complete answer.
     """
 
     way: str
@@ -50,13 +51,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Way:
-    """One way to measure.
+class RequestPath:
+    """A request path to measure.
 
     Attributes:
         name: see ``Figure.way``.
-        target: where the load goes.
-        processes: whose CPU time counts.
+        target: where the load is sent.
+        processes: names of the processes whose CPU time is counted.
     """
 
     name: str
@@ -65,16 +66,16 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Size:
-    """How much load is put on each way."""
+class LoadSize:
+    """Amount of load for each request path."""
 
     seconds: float
     streams: int
     tokens: int
 
 
-class Bench:
-    """The processes of the measure; one entry owns all, or two share."""
+class Testbed:
+    """The processes of the benchmark, with one or two entry instances."""
 
     def __init__(
         self, running: processes.Processes, subnet: str, instances: int
@@ -84,7 +85,7 @@
         self.relay = f"127.{subnet}.240:8000"
 
     def start(self) -> None:
-        """Start the platform, cheap endpoints and entries."""
+        """Start the platform, the minimal endpoints and the instances."""
         self.fleet.start_platform()
         for endpoint in self.fleet.endpoints:
             self.running.start(
@@ -93,7 +94,7 @@
                 "path_endpoint",
                 endpoint["address"],
                 str(fleet.ENDPOINT_PORT),
-                str(PAUSE_SECONDS),
+                str(TOKEN_INTERVAL_SECONDS),
             )
         for instance in self.fleet.instances:
             self.fleet.start_instance(instance["name"])
@@ -103,7 +104,7 @@
             processes.wait_for_port(instance["address"], fleet.CALLER_PORT)
 
     def start_relay(self) -> None:
-        """Start the bare relay."""
+        """Start the baseline relay."""
         host, port = self.relay.rsplit(":", 1)
         self.running.start(
             RELAY,
@@ -111,42 +112,48 @@
             "path_relay",
             host,
             port,
-            "+".join(self.get_endpoints()),
-            str(BATCH),
+            "+".join(self.get_endpoint_addresses()),
+            str(ENDPOINT_CONCURRENCY),
         )
         processes.wait_for_port(host, int(port))
 
-    def get_endpoints(self) -> tuple[str, ...]:
-        """Return the endpoints' addresses."""
+    def get_endpoint_addresses(self) -> tuple[str, ...]:
+        """Return the addresses of the endpoints."""
         return tuple(
             f"{e['address']}:{fleet.ENDPOINT_PORT}"
             for e in self.fleet.endpoints
         )
 
-    def warm_up(self, way: Way) -> None:
-        """Send calls until none is refused: all endpoints are warm.
+    def warm_up(self, request_path: RequestPath) -> None:
+        """Send calls until none is refused, so that all endpoints are warm.
 
         Raises:
-            TimeoutError: some still are after a while.
+            TimeoutError: calls are still refused after the last round.
         """
-        for _ in range(WARM_ROUNDS):
-            rate = path_load.call_in_loop(
-                way.target, CONNECTIONS, WARM_SECONDS
+        for _ in range(WARM_UP_ROUNDS):
+            rate = path_load.run_closed_loop(
+                request_path.target, CONNECTIONS, WARM_UP_SECONDS
             )
             if rate.count and not rate.failed:
                 return
-        raise TimeoutError(f"{way.name} goes on refusing calls")
-
-    def measure(self, way: Way, size: Size) -> Figure:
-        """Put the load on a way and return its cost."""
-        self.warm_up(way)
-        before = self.read_cpu(way)
-        calls = path_load.call_in_loop(way.target, CONNECTIONS, size.seconds)
-        between = self.read_cpu(way)
-        streams = path_load.read_streams(way.target, size.streams, size.tokens)
-        after = self.read_cpu(way)
+        raise TimeoutError(
+            f"{request_path.name} still refuses calls after warm-up"
+        )
+
+    def measure(self, request_path: RequestPath, size: LoadSize) -> Figure:
+        """Load a request path and return its cost."""
+        self.warm_up(request_path)
+        before = self.read_cpu(request_path)
+        calls = path_load.run_closed_loop(
+            request_path.target, CONNECTIONS, size.seconds
+        )
+        between = self.read_cpu(request_path)
+        streams = path_load.read_streams(
+            request_path.target, size.streams, size.tokens
+        )
+        after = self.read_cpu(request_path)
         return Figure(
-            way=way.name,
+            way=request_path.name,
             requests_per_second=round(calls.count / calls.seconds, 1),
             cpu_seconds_per_request=(between - before) / max(1, calls.count),
             tokens_per_second=round(streams.count / streams.seconds, 1),
@@ -156,17 +163,17 @@
             failed=calls.failed + streams.failed,
         )
 
-    def read_cpu(self, way: Way) -> float:
-        """Return the processor time of a way's processes, seconds."""
-        pids = [self.running.get_pid(name) for name in way.processes]
+    def read_cpu(self, request_path: RequestPath) -> float:
+        """Return the CPU seconds used by the processes of a path."""
+        pids = [self.running.get_pid(name) for name in request_path.processes]
         return sum(read_cpu(pid) for pid in pids)
 
 
 def read_cpu(pid: int) -> float:
-    """Return the processor time of a process so far, seconds."""
+    """Return the CPU seconds that a process has used so far."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
-    # The name in brackets may hold blanks; the fields are counted from
-    # its end: user and system time are the 12th and 13th after it.
+    # The process name in parentheses may contain spaces, so fields are
+    # counted from its end: user and system time are the 12th and 13th.
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     return ticks / os.sysconf("SC_CLK_TCK")
@@ -177,15 +184,20 @@
         {
             "name": f"engine-{n}",
             "models": ("any", f"only-{n}"),
-            "batch": BATCH,
-            "cold_concurrency": BATCH,
+            "batch": ENDPOINT_CONCURRENCY,
+            "cold_concurrency": ENDPOINT_CONCURRENCY,
             "cold_prompt_tokens": 10_000_000,
             "prefill_rate": 10_000_000.0,
             "decode_rate": 10_000.0,
         }
         for n in range(ENGINES)
     )
-    entry = {"name": "measure", "owner": "measure", "class": 0, "key": KEY}
+    entry = {
+        "name": "measure",
+        "owner": "measure",
+        "class": 0,
+        "key": WORKSPACE_KEY,
+    }
     return fleet.Layout(
         subnet=subnet,
         data_centres=("dc-1",),
@@ -198,55 +210,57 @@
 
 
 def make_target(addresses: tuple[str, ...], model: str) -> path_load.Target:
-    """Return a target that the bench's key opens."""
-    return path_load.Target(addresses=addresses, model=model, key=KEY)
+    """Return a target with the workspace key of the benchmark."""
+    return path_load.Target(
+        addresses=addresses, model=model, key=WORKSPACE_KEY
+    )
 
 
 def _measure_one_entry(
-    folder: pathlib.Path, subnet: str, size: Size
+    folder: pathlib.Path, subnet: str, size: LoadSize
 ) -> list[Figure]:
     with processes.Processes(folder) as running:
-        bench = Bench(running, subnet, 1)
-        bench.start()
-        bench.start_relay()
-        endpoints = bench.get_endpoints()
-        names = tuple(e["name"] for e in bench.fleet.endpoints)
-        entries = tuple(bench.fleet.get_callers_addresses())
-        ways = (
-            Way(
+        testbed = Testbed(running, subnet, 1)
+        testbed.start()
+        testbed.start_relay()
+        endpoints = testbed.get_endpoint_addresses()
+        names = tuple(e["name"] for e in testbed.fleet.endpoints)
+        entries = tuple(testbed.fleet.get_callers_addresses())
+        request_paths = (
+            RequestPath(
                 name="direct",
                 target=make_target(endpoints, "any"),
                 processes=names,
             ),
-            Way(
+            RequestPath(
                 name="relay",
-                target=make_target((bench.relay,), "any"),
+                target=make_target((testbed.relay,), "any"),
                 processes=(RELAY,),
             ),
-            Way(
+            RequestPath(
                 name="entry",
                 target=make_target(entries, "any"),
                 processes=("entry-1",),
             ),
         )
-        return [bench.measure(way, size) for way in ways]
+        return [testbed.measure(each, size) for each in request_paths]
 
 
 def _measure_forward(
-    folder: pathlib.Path, subnet: str, size: Size
+    folder: pathlib.Path, subnet: str, size: LoadSize
 ) -> list[Figure]:
     with processes.Processes(folder) as running:
-        bench = Bench(running, subnet, 2)
-        bench.start()
-        names = [i["name"] for i in bench.fleet.instances]
+        testbed = Testbed(running, subnet, 2)
+        testbed.start()
+        names = [i["name"] for i in testbed.fleet.instances]
         owner = ownership.rank_instances("engine-0", names)[0]
-        other = bench.fleet.get_callers_addresses()[1 - names.index(owner)]
-        way = Way(
+        other = testbed.fleet.get_callers_addresses()[1 - names.index(owner)]
+        request_path = RequestPath(
             name="forward",
             target=make_target((other,), "only-0"),
             processes=tuple(names),
         )
-        return [bench.measure(way, size)]
+        return [testbed.measure(request_path, size)]
 
 
 def run(
@@ -256,16 +270,16 @@
     streams: int = 200,
     tokens: int = 300,
 ) -> None:
-    """Measure the cost of the path, print it and write it.
+    """Measure the CPU cost of each request path and report it.
 
     Args:
-        json: file that gets the figures.
-        subnet: second and third number of the loopback addresses.
-        seconds: how long calls are sent on each way.
-        streams: streams side by side on each way.
+        json: file to write the figures to.
+        subnet: second and third octet of the loopback addresses.
+        seconds: how long calls are sent on each request path.
+        streams: concurrent streams on each request path.
         tokens: tokens of each stream.
     """
-    size = Size(seconds=seconds, streams=streams, tokens=tokens)
+    size = LoadSize(seconds=seconds, streams=streams, tokens=tokens)
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         figures = _measure_one_entry(folder, str(subnet), size)
--- a/measures/path_load.py
+++ b/measures/path_load.py
@@ -1,4 +1,4 @@
-"""Load for the path measure: calls in a closed loop, and paced streams."""
+"""Load generator: calls in a closed loop, and concurrent streams."""
 
 import dataclasses
 import json
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Target:
-    """Where calls go and what they carry.
+    """Where calls are sent, and with which model and key.
 
     Attributes:
-        addresses: "ip:port", taken in turn by the connections.
+        addresses: "ip:port", assigned to connections in round-robin order.
         model: model name.
         key: workspace key.
     """
@@ -29,17 +29,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Rate:
-    """What a load reached.
+class LoadResult:
+    """Result of one load.
 
     Attributes:
-        count: calls, or tokens.
-        failed: calls or streams without a whole answer.
-        seconds: how long it took.
-        p95_gap: seconds between two pieces of a stream that 95 in 100
-            gaps stay under; 0 for calls.
-        p95_first: seconds to a stream's first piece, 95 in 100; 0 for
-            calls.
+        count: completed calls, or tokens of complete streams.
+        failed: calls or streams without a complete answer.
+        seconds: duration of the load.
+        p95_gap: 95th percentile of the seconds between two chunks of a
+            stream; 0 for calls.
+        p95_first: 95th percentile of the seconds to the first chunk of
+            a stream; 0 for calls.
     """
 
     count: int
@@ -49,8 +49,10 @@
     p95_first: float = 0.0
 
 
-def call_in_loop(target: Target, connections: int, seconds: float) -> Rate:
-    """Send whole calls on kept connections, each after the last answer."""
+def run_closed_loop(
+    target: Target, connections: int, seconds: float
+) -> LoadResult:
+    """Send calls on persistent connections, one at a time on each."""
     payload = _make_payload(target, stream=False, tokens=16)
     start = time.monotonic()
     end = start + seconds
@@ -60,15 +62,15 @@
     ]
     gevent.joinall(tasks)
     counts = [task.get() for task in tasks]
-    return Rate(
+    return LoadResult(
         count=sum(done for done, _ in counts),
         failed=sum(failed for _, failed in counts),
         seconds=time.monotonic() - start,
     )
 
 
-def read_streams(target: Target, streams: int, tokens: int) -> Rate:
-    """Read streams side by side to their ends."""
+def read_streams(target: Target, streams: int, tokens: int) -> LoadResult:
+    """Read concurrent streams to the end."""
     payload = _make_payload(target, stream=True, tokens=tokens)
     start = time.monotonic()
     tasks = [
@@ -76,13 +78,13 @@
         for n in range(streams)
     ]
     gevent.joinall(tasks)
-    whole = [task.get() for task in tasks if task.get()]
-    return Rate(
-        count=len(whole) * tokens,
-        failed=streams - len(whole),
+    complete = [task.get() for task in tasks if task.get()]
+    return LoadResult(
+        count=len(complete) * tokens,
+        failed=streams - len(complete),
         seconds=time.monotonic() - start,
-        p95_gap=_find_p95([g for times in whole for g in times[1:]]),
-        p95_first=_find_p95([times[0] for times in whole]),
+        p95_gap=_find_p95([g for times in complete for g in times[1:]]),
+        p95_first=_find_p95([times[0] for times in complete]),
     )
 
 
@@ -120,7 +122,7 @@
     while time.monotonic() < end:
         sock.sendall(payload)
         data = sock.recv(READ_BYTES)
-        while data and not _is_whole(data):
+        while data and not _is_complete(data):
             data += sock.recv(READ_BYTES)
         if data.startswith(b"HTTP/1.1 200"):
             done += 1
@@ -130,7 +132,7 @@
     return done, failed
 
 
-def _is_whole(data: bytes) -> bool:
+def _is_complete(data: bytes) -> bool:
     head, separator, body = data.partition(HEAD_END)
     if not separator:
         return False
@@ -142,7 +144,10 @@
 
 
 def _stream(address: str, payload: bytes) -> list[float]:
-    """Return the time to the first piece and the gaps; empty if cut."""
+    """Return the gaps before each chunk; empty if the stream is cut.
+
+    The first gap is the time to the first chunk.
+    """
     sock = _connect(address)
     last = time.monotonic()
     sock.sendall(payload)
--- a/measures/telemetry.py
+++ b/measures/telemetry.py
@@ -1,9 +1,9 @@
-"""What counts and traces cost a request, in processor time.
+"""CPU cost of metrics and traces for one request.
 
-Drives the calls that the executor makes for one request with an answer of
-many pieces, with an inert watch (the loop alone), with counts only (traces
-off), with traces on and written to a file, and with traces on for one
-request in a hundred.
+Repeats the calls that the executor makes for one request with a streamed
+answer in four set-ups: with a no-op observer (cost of the loop itself), with
+metrics only, with traces written to a file, and with one request in a
+hundred traced.
 """
 
 import json
@@ -20,14 +20,14 @@
 from citronport.endpoints import messages
 from citronport.scheduler import models
 
-PIECES = 350
-"""Pieces of one answer: 17 M tokens a second over 48,000 requests."""
+CHUNKS_PER_ANSWER = 350
+"""Chunks of one answer: 17 M tokens/s divided by 48,000 requests/s."""
 
 CHUNK = messages.Chunk(offset=0, data=b"x")
 
 
-class _Inert:
-    """A watch that does nothing, to take the loop's own cost away."""
+class _NullObserver:
+    """No-op observer, to subtract the cost of the loop itself."""
 
     def record_message(self, message: messages.Message) -> None:
         pass
@@ -39,7 +39,7 @@
         pass
 
 
-def _make_work() -> runs.Work:
+def _make_request() -> runs.Work:
     return runs.Work(
         request=models.Request(
             request_id="r",
@@ -61,32 +61,38 @@
     )
 
 
-def _drive(made: telemetry.Telemetry | None, requests: int) -> float:
-    inert = _Inert()
+def _measure_cpu_seconds(
+    made: telemetry.Telemetry | None, requests: int
+) -> float:
+    null_observer = _NullObserver()
     started = time.process_time()
     for _ in range(requests):
-        work = _make_work()
-        watch = made.make_observer(work, forwarded=False) if made else inert
-        watch.record_decision()
-        watch.record_dispatch("engine-1")
-        watch.record_message(
+        work = _make_request()
+        observer = (
+            made.make_observer(work, forwarded=False)
+            if made
+            else null_observer
+        )
+        observer.record_decision()
+        observer.record_dispatch("engine-1")
+        observer.record_message(
             messages.Started(status=200, content_type="text/plain")
         )
-        for _ in range(PIECES):
-            watch.record_message(CHUNK)
-        watch.record_message(messages.Finished(size=PIECES))
+        for _ in range(CHUNKS_PER_ANSWER):
+            observer.record_message(CHUNK)
+        observer.record_message(messages.Finished(size=CHUNKS_PER_ANSWER))
     return (time.process_time() - started) / requests
 
 
 def run(
     requests: int = 2000, repeats: int = 5, json_file: str | None = None
 ) -> None:
-    """Measure, print a table, and write the figures.
+    """Measure the CPU cost for each request and report it.
 
     Args:
-        requests: requests of each repeat.
-        repeats: the median of so many is told.
-        json_file: where to write the figures as JSON.
+        requests: requests in each repeat.
+        repeats: number of repeats, of which the median is reported.
+        json_file: file to write the figures to.
     """
     ticker = clock.RuntimeClock()
     with tempfile.TemporaryDirectory() as folder:
@@ -103,7 +109,7 @@
         }
         figures = {
             name: statistics.median(
-                _drive(make(), requests) for _ in range(repeats)
+                _measure_cpu_seconds(make(), requests) for _ in range(repeats)
             )
             for name, make in makers.items()
         }
@@ -113,5 +119,5 @@
         print(f"{name:18} {(seconds - base) * 1e6:8.1f} us a request")
     print(f"{size:.0f} bytes a span")
     if json_file is not None:
-        told = {"cpu_s_per_request": figures, "bytes_per_span": size}
-        pathlib.Path(json_file).write_text(json.dumps(told, indent=2))
+        results = {"cpu_s_per_request": figures, "bytes_per_span": size}
+        pathlib.Path(json_file).write_text(json.dumps(results, indent=2))
