--- a/measures/capacity/__init__.py
+++ b/measures/capacity/__init__.py
@@ -12,12 +12,12 @@
 
 
 def run(json: str = "", seconds: float = 8.0, subnet: str = "35.1") -> None:
-    """Measure costs at several sizes and extrapolate to the target size.
+    """Measure the slopes and extrapolate them to the aimed size.
 
     Args:
-        json: file to write the figures to.
-        seconds: how long real processes are measured at each size.
-        subnet: second and third octet of the loopback addresses.
+        json: file for the figures.
+        seconds: how long each number of real processes is watched.
+        subnet: second and third number of the loopback addresses.
     """
     series = [
         *catalogue.measure(),
--- a/measures/decisions/__init__.py
+++ b/measures/decisions/__init__.py
@@ -32,14 +32,14 @@
     policy: str = "",
     plot: str = "",
 ) -> None:
-    """Simulate each load with each policy and report the results.
+    """Measure the decisions under load.
 
     Args:
-        json: file to write the figures to.
-        load: run only this load.
+        json: file for the figures.
+        load: only this load.
         seeds: number of seeds.
-        policy: run only this policy; "independent" has no endpoint owners.
-        plot: file to write the plot to (PNG).
+        policy: only this policy; "independent" has no owners.
+        plot: file for the plot (PNG).
     """
     names = [load] if load else list(loads.LOADS)
     policies = [policy] if policy else list(POLICIES)
--- a/measures/losses.py
+++ b/measures/losses.py
@@ -295,13 +295,13 @@
 
 
 def run(sheet: str, report: str, lines: str, json_file: str = "") -> None:
-    """Print the score that a simulated day lost, by reason.
+    """Print where a played day lost its worth.
 
     Args:
-        sheet: file that describes the deployment (TOML).
-        report: report of the bench (JSON).
-        lines: output of the bench with the log lines of all instances.
-        json_file: file to write the table to.
+        sheet: the deployment's file.
+        report: what the bench wrote of the day.
+        lines: its output with the lines of all instances.
+        json_file: where the table goes too.
     """
     with open(sheet, "rb") as file:
         described = tomllib.load(file)
--- a/measures/path.py
+++ b/measures/path.py
@@ -270,13 +270,13 @@
     streams: int = 200,
     tokens: int = 300,
 ) -> None:
-    """Measure the CPU cost of each request path and report it.
+    """Measure the cost of the path, print it and write it.
 
     Args:
-        json: file to write the figures to.
-        subnet: second and third octet of the loopback addresses.
-        seconds: how long calls are sent on each request path.
-        streams: concurrent streams on each request path.
+        json: file that gets the figures.
+        subnet: second and third number of the loopback addresses.
+        seconds: how long calls are sent on each way.
+        streams: streams side by side on each way.
         tokens: tokens of each stream.
     """
     size = LoadSize(seconds=seconds, streams=streams, tokens=tokens)
--- a/measures/path_endpoint.py
+++ b/measures/path_endpoint.py
@@ -93,5 +93,5 @@
 
 
 def run(address: str, port: int, pause: float) -> None:
-    """Serve until the process is killed."""
+    """Serve until killed."""
     listener.serve(address, port, Endpoint(pause))
--- a/measures/path_relay.py
+++ b/measures/path_relay.py
@@ -60,13 +60,13 @@
 
 
 def run(address: str, port: int, endpoints: str, concurrency: int) -> None:
-    """Serve until the process is killed.
+    """Serve until killed.
 
     Args:
-        address: address to listen on.
-        port: port to listen on.
+        address: where to listen.
+        port: where to listen.
         endpoints: "ip:port" of each endpoint, joined by "+".
-        concurrency: size of the connection pool of each endpoint.
+        concurrency: connections kept to each.
     """
     relay = Relay(endpoints.split("+"), concurrency)
     listener.serve(address, port, relay)
--- a/measures/scale/__init__.py
+++ b/measures/scale/__init__.py
@@ -16,10 +16,10 @@
 
 
 def run(json: str = "") -> None:
-    """Measure one scheduler that owns 10 endpoints in fleets of each size.
+    """Measure one scheduler with 10 own endpoints in growing fleets.
 
     Args:
-        json: file to write the figures to.
+        json: file for the figures.
     """
     rows = [measure(size) for size in SIZES]
     for row in rows:
--- a/measures/telemetry.py
+++ b/measures/telemetry.py
@@ -87,12 +87,12 @@
 def run(
     requests: int = 2000, repeats: int = 5, json_file: str | None = None
 ) -> None:
-    """Measure the CPU cost for each request and report it.
+    """Measure, print a table, and write the figures.
 
     Args:
-        requests: requests in each repeat.
-        repeats: number of repeats, of which the median is reported.
-        json_file: file to write the figures to.
+        requests: requests of each repeat.
+        repeats: the median of so many is told.
+        json_file: where to write the figures as JSON.
     """
     ticker = clock.RuntimeClock()
     with tempfile.TemporaryDirectory() as folder:
