--- a/citronport/scheduler/direct/quota.py
+++ b/citronport/scheduler/direct/quota.py
@@ -161,10 +161,10 @@
             totals: the envoy's ``get_data_centre_totals``.
             now: clock time, seconds.
         """
-        passed = self._usage.apply_data_centre_totals(
+        increase = self._usage.apply_data_centre_totals(
             data_centre, envoy, incarnation, totals, now
         )
-        self._charge(passed, now)
+        self._charge(increase, now)
 
     def get_totals(self) -> usage.Units:
         """Return the units admitted by this instance, by workspace."""
@@ -174,8 +174,8 @@
         """Return the units admitted in its data centre, by workspace."""
         return self._usage.get_data_centre_totals()
 
-    def _charge(self, passed: usage.Units, now: float) -> None:
-        for name, units in passed.items():
+    def _charge(self, increase: usage.Units, now: float) -> None:
+        for name, units in increase.items():
             bucket = self._buckets.get(name)
             if bucket is not None:
                 bucket.level -= units
--- a/citronport/scheduler/direct/retries.py
+++ b/citronport/scheduler/direct/retries.py
@@ -39,12 +39,12 @@
         self._ratio = ratio * SAFETY_FACTOR
         self._extra = extra * SAFETY_FACTOR
         self._window = window
-        self._firsts: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._first_sends: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
     def record_first(self, now: float) -> None:
         """Count the first send of a request."""
-        self._firsts.append(now)
+        self._first_sends.append(now)
         self._trim(now)
 
     def take(self, instances: int, now: float) -> bool:
@@ -56,12 +56,14 @@
         """
         self._trim(now)
         share = self._extra / max(MIN_INSTANCES, instances)
-        if len(self._repeats) + 1 > share + self._ratio * len(self._firsts):
+        if len(self._retries) + 1 > share + self._ratio * len(
+            self._first_sends
+        ):
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _trim(self, now: float) -> None:
-        for times in (self._firsts, self._repeats):
+        for times in (self._first_sends, self._retries):
             while times and times[0] <= now - self._window:
                 times.popleft()
--- a/tests/scheduler/direct/test_cold_starts.py
+++ b/tests/scheduler/direct/test_cold_starts.py
@@ -44,7 +44,7 @@
         self.assertGreaterEqual(len(sends), 8)
 
     def test_instances_with_different_fleet_sizes(self):
-        """The bound holds while instances differ on the fleet size.
+        """The bound holds while instances differ about the fleet size.
 
         Four instances have just been added. The seven old ones do not know
         them yet and divide the rate by seven, the new ones by eleven.
@@ -69,27 +69,27 @@
         own.set_cold("e", 1.0)
         for _ in range(50):
             own.record_send("e", 0.5)
-        share = roles.Sender("i", ("i",))
-        self.assertFalse(own.may_send("e", share, RATE, 0.9))
-        self.assertTrue(own.may_send("e", share, RATE, 1.0))
+        role = roles.Sender("i", ("i",))
+        self.assertFalse(own.may_send("e", role, RATE, 0.9))
+        self.assertTrue(own.may_send("e", role, RATE, 1.0))
 
     def test_two_owners_and_instances_without_owner(self):
-        """The bound holds while instances differ on the owner.
+        """The bound holds while instances differ about the owner.
 
         Two instances lease out slots of a cold endpoint at once, and all
         others with a share of the rate send as well.
         """
         names = tuple(f"i{n}" for n in range(60))
-        parts = [roles.Owner(), roles.Owner()]
-        parts += [roles.Sender(name, names) for name in names]
+        instance_roles = [roles.Owner(), roles.Owner()]
+        instance_roles += [roles.Sender(name, names) for name in names]
         sends = []
-        starts = [cold_starts.ColdStarts() for _ in parts]
+        starts = [cold_starts.ColdStarts() for _ in instance_roles]
         for own in starts:
             own.set_cold("e", 10.0)
         for step in range(100):
             now = step * 0.025
-            for own, share in zip(starts, parts, strict=True):
-                if own.may_send("e", share, RATE, now):
+            for own, role in zip(starts, instance_roles, strict=True):
+                if own.may_send("e", role, RATE, now):
                     own.record_send("e", now)
                     sends.append(now)
         busiest = max(
--- a/tests/scheduler/direct/test_fleet_load.py
+++ b/tests/scheduler/direct/test_fleet_load.py
@@ -200,10 +200,12 @@
         ]
 
         def choose(waiter):
-            seen = [e for e in usable if self._has_capacity(instance, e, now)]
-            if self._sample_size < len(seen):
-                seen = self._random.sample(seen, self._sample_size)
-            return self._send(now, instance, waiter.work, seen)
+            candidates = [
+                e for e in usable if self._has_capacity(instance, e, now)
+            ]
+            if self._sample_size < len(candidates):
+                candidates = self._random.sample(candidates, self._sample_size)
+            return self._send(now, instance, waiter.work, candidates)
 
         instance.queue.match(choose, now, lambda: not usable)
         for waiter in instance.queue.list_by_urgency(now):
@@ -263,11 +265,11 @@
         the rest 0.75 s later. Several send to one engine, where short
         requests wait behind a long prompt while other engines idle.
         """
-        alone = self.simulate(INSTANCES)
-        owned = self.simulate(1)
-        self.assertEqual(alone.total, owned.total)
-        self.assertGreater(owned.in_time, 0.8 * owned.total)
-        self.assertGreater(owned.in_time, 1.3 * alone.in_time)
+        without_owner = self.simulate(INSTANCES)
+        with_owner = self.simulate(1)
+        self.assertEqual(without_owner.total, with_owner.total)
+        self.assertGreater(with_owner.in_time, 0.8 * with_owner.total)
+        self.assertGreater(with_owner.in_time, 1.3 * without_owner.in_time)
 
     def test_burst_beyond_the_capacity_of_the_engines(self):
         """Guards against idle slots during an overload of twice the load.
@@ -275,6 +277,6 @@
         One queue keeps each slot busy with the most urgent request. Sixty
         queues leave slots idle that their instances assume to be in use.
         """
-        alone = self.simulate(INSTANCES, 2.0)
-        owned = self.simulate(1, 2.0)
-        self.assertGreater(owned.in_time, 1.2 * alone.in_time)
+        without_owner = self.simulate(INSTANCES, 2.0)
+        with_owner = self.simulate(1, 2.0)
+        self.assertGreater(with_owner.in_time, 1.2 * without_owner.in_time)
--- a/tests/scheduler/direct/test_leases.py
+++ b/tests/scheduler/direct/test_leases.py
@@ -11,10 +11,10 @@
 PROFILE = hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
 
 
-def make_held(request_id="r1", endpoint="e1", unread=0):
+def make_held(request_id="r1", endpoint="e1", prefill_tokens=0):
     """Return a lease as reported by its holder."""
     return leases_module.HeldLease(
-        request_id=request_id, endpoint=endpoint, prefill_tokens=unread
+        request_id=request_id, endpoint=endpoint, prefill_tokens=prefill_tokens
     )
 
 
@@ -115,16 +115,16 @@
         leases = leases_module.Leases(loads)
         running = set()
         now = 0.0
-        for what, number in steps:
+        for action, number in steps:
             now += 0.05
             request = f"r{number}"
-            if what == "grant" and request not in running:
+            if action == "grant" and request not in running:
                 running.add(request)
                 loads.record_send("e1", samples.make_work(request), now)
                 leases.grant(request, "e1", "x", now)
             elif request in running:
                 running.discard(request)
-                if what == "end":
+                if action == "end":
                     leases.end(request, "e1")
         now += 1.0
         leases.renew("x", [make_held(r) for r in running], now)
--- a/tests/scheduler/direct/test_profiles.py
+++ b/tests/scheduler/direct/test_profiles.py
@@ -9,11 +9,11 @@
 SERVICE = "engines"
 
 
-def run_requests(learned, base_steps, steps_per_token, number, seed=1):
+def run_requests(learnt, base_steps, steps_per_token, number, seed=1):
     """Record simulated requests of an engine.
 
     Args:
-        learned: profiles that learn from them.
+        learnt: profiles that learn from them.
         base_steps: steps to the first event, without the prompt.
         steps_per_token: steps per prompt token.
         number: number of requests.
@@ -25,8 +25,8 @@
         steps = (base_steps + steps_per_token * tokens) * draw.uniform(
             0.8, 1.2
         )
-        learned.record_first_event(SERVICE, tokens, steps)
-        learned.record_end(SERVICE, 400.0)
+        learnt.record_first_event(SERVICE, tokens, steps)
+        learnt.record_end(SERVICE, 400.0)
 
 
 class ProfilesTest(testtools.TestCase):
@@ -79,11 +79,15 @@
         old, new = profiles.Profiles(), profiles.Profiles()
         self.assertEqual([], old.make_report_rows())
         run_requests(old, base_steps=3.0, steps_per_token=0.05, number=50)
-        ((service, begin, read, stay),) = old.make_report_rows()
+        ((service, base_steps, steps_per_token, total_steps),) = (
+            old.make_report_rows()
+        )
         new.set_remote(
             service,
             profiles.Profile(
-                base_steps=begin, steps_per_token=read, total_steps=stay
+                base_steps=base_steps,
+                steps_per_token=steps_per_token,
+                total_steps=total_steps,
             ),
         )
         self.assertEqual(old.get(SERVICE), new.get(SERVICE))
--- a/tests/scheduler/direct/test_quota.py
+++ b/tests/scheduler/direct/test_quota.py
@@ -112,7 +112,7 @@
         )
 
     def test_majority_admits_the_whole_limit(self):
-        """Five of seven instances use the whole limit without the others."""
+        """Five of seven instances use the full limit without the others."""
         admitted = flood([5, 1, 1], 12.0, 200.0)
         served = sum(u for _, u in admitted)
         self.assertGreaterEqual(served, RATE * 11)
--- a/tests/scheduler/direct/test_retries.py
+++ b/tests/scheduler/direct/test_retries.py
@@ -25,21 +25,25 @@
     ):
         """The sum holds for any fleet size known to the instances."""
         budgets = [retries.RetryBudget(RATIO, EXTRA) for _ in range(instances)]
-        repeats = []
-        firsts = []
+        retry_times = []
+        first_send_times = []
         for step in range(200):
             now = step * 0.1
             for budget in budgets:
                 for _ in range(rate // 10):
                     budget.record_first(now)
-                    firsts.append(now)
+                    first_send_times.append(now)
                 for _ in range(5):
                     if budget.take(known_instances, now):
-                        repeats.append(now)
+                        retry_times.append(now)
         for end in (5.0, 10.0, 15.0, 19.9):
-            window = [t for t in repeats if end - 10 < t <= end]
-            sent = [t for t in firsts if end - 10 < t <= end]
-            self.assertLessEqual(len(window), RATIO * len(sent) + EXTRA)
+            retries_in_window = [t for t in retry_times if end - 10 < t <= end]
+            sends_in_window = [
+                t for t in first_send_times if end - 10 < t <= end
+            ]
+            self.assertLessEqual(
+                len(retries_in_window), RATIO * len(sends_in_window) + EXTRA
+            )
 
     def test_single_failure_is_retried(self):
         """One failure among few requests is retried."""
--- a/tests/scheduler/direct/test_selection.py
+++ b/tests/scheduler/direct/test_selection.py
@@ -41,11 +41,11 @@
         """Return the name of the endpoint for a request, or None."""
         self.number += 1
         work = samples.make_work(f"r{self.number}", now=NOW, **work)
-        share = roles.Sender("own", ("own",))
+        role = roles.Sender("own", ("own",))
         usable = [
             e
             for e in self.endpoints
-            if self.selector.has_capacity(e, self.service, share, NOW)
+            if self.selector.has_capacity(e, self.service, role, NOW)
         ]
         placement = self.selector.choose(work, self.service, usable, NOW)
         return placement.endpoint.name if placement else None
--- a/tests/scheduler/direct/test_suspects.py
+++ b/tests/scheduler/direct/test_suspects.py
@@ -25,11 +25,11 @@
     def record_crashes(self, *numbers, own=None, now=0.0):
         """Record crashes; return whether the last one bars the request."""
         own = own or self.suspects
-        found = [
+        results = [
             own.record_crash(FINGERPRINT, make_endpoint(n), now)
             for n in numbers
         ]
-        return found[-1]
+        return results[-1]
 
     def is_barred(self, now=0.0):
         """Return whether the request is barred."""
@@ -74,7 +74,7 @@
             self.assertTrue(other.is_barred(FINGERPRINT, 0.2))
 
     def test_complete_answer_on_another_instance_clears_crashes(self):
-        """Guards against barring in spite of an answer on another instance."""
+        """Guards against barring a request that another instance completed."""
         other = suspects.SuspectRequests()
         self.record_crashes(1, 2, 3)
         other.apply_updates(self.suspects.list_updates(0.1), 0.1)
@@ -98,7 +98,7 @@
         self.assertEqual(5, newcomer.count_barred())
 
     def test_crashes_among_many_innocent_requests_add_up(self):
-        """Guards against missing the cause of a crash among its victims.
+        """Guards against missing the request that causes the crashes.
 
         Each of three instances sees one crash, which involves the request
         and forty others.
--- a/tests/scheduler/direct/test_usage.py
+++ b/tests/scheduler/direct/test_usage.py
@@ -15,12 +15,12 @@
         self.apply_totals("one", 0.0, 1000.0)
         self.apply_totals("two", 0.1, 1000.0)
 
-    def apply_totals(self, envoy, now, total, start="1"):
+    def apply_totals(self, envoy, now, total, incarnation="1"):
         """Apply the totals of an envoy; return the units to charge."""
-        grown = self.usage.apply_data_centre_totals(
-            "dc", envoy, start, {"w": total}, now
+        increase = self.usage.apply_data_centre_totals(
+            "dc", envoy, incarnation, {"w": total}, now
         )
-        return grown.get("w", 0.0)
+        return increase.get("w", 0.0)
 
     def test_units_from_two_envoys_count_once(self):
         """Guards against a limit that is used up twice as fast."""
@@ -48,5 +48,5 @@
         """Guards against subtracting the totals from before the restart."""
         self.assertEqual(500.0, self.apply_totals("one", 0.3, 1500.0))
         self.assertEqual(
-            200.0, self.apply_totals("one", 0.6, 200.0, start="2")
+            200.0, self.apply_totals("one", 0.6, 200.0, incarnation="2")
         )
--- a/tests/scheduler/direct/test_wait_queue.py
+++ b/tests/scheduler/direct/test_wait_queue.py
@@ -54,10 +54,10 @@
         queue = wait_queue.WaitQueue()
         for name in ("one", "two", "three"):
             queue.add(make_waiter(name))
-        slots = iter(["place", None, None])
+        slots = iter(["slot", None, None])
         matched = queue.match(lambda waiter: next(slots), 0.1)
         self.assertEqual(
-            [("one", "place")],
+            [("one", "slot")],
             [(w.work.request_id, slot) for w, slot in matched],
         )
         self.assertEqual(2, len(queue))
