--- a/citronport/scheduler/direct/announcements.py
+++ b/citronport/scheduler/direct/announcements.py
@@ -1,4 +1,4 @@
-"""Selects the items with occasional changes that a report announces."""
+"""Selects the changes that each report announces to other instances."""
 
 import collections.abc
 
@@ -38,7 +38,7 @@
         """Return the items to announce now.
 
         Args:
-            active: items in force; their changes take precedence.
+            active: items that are still active; their changes come first.
             now: clock time, seconds.
             max_changes: most changes to return.
         """
--- a/citronport/scheduler/direct/buckets.py
+++ b/citronport/scheduler/direct/buckets.py
@@ -9,17 +9,18 @@
 gets more of a workspace's requests than another."""
 
 USAGE_HALF_LIFE_SECONDS = 4.0
-"""Half-life of the recent usage. Longer than a debt that blocks a flood;
-otherwise the flood would come in all at once again afterwards."""
+"""Half-life of the recent usage. Longer than it takes to pay back the debt of a
+flood. Otherwise the usage would have decayed by then, instances would not be
+held to their shares, and all would admit the flood again at once."""
 
 USAGE_MARGIN = 2.0
 """Factor by which usage may exceed the recent rate until the next report."""
 
 MAX_DEBT_REPORTS = 6.0
-"""Largest debt, in units of what the rate admits between two reports, or a
-burst if that is more. Enough to pay back a flood between two reports, while
-a long request does not block a workspace for seconds if reports are
-frequent."""
+"""Largest debt, as a multiple of the units that the rate allows between two
+reports; a burst if that is more. Enough to charge a flood between two
+reports, while a long request does not block a workspace for seconds if
+reports are frequent."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,9 +30,9 @@
     Attributes:
         level: units left; below 0 while a debt is paid back.
         refilled_at: clock time of the level, seconds.
-        reserved: units of refused callers that were told when to retry.
-        unreported: units admitted here that others have not been told of.
-        unreported_until: clock time until which that holds, seconds.
+        reserved: units of refused requests whose callers got a retry delay.
+        unreported: units admitted here that other instances do not know yet.
+        unreported_until: clock time at which they know them, seconds.
         recent_usage: units admitted by all instances, with exponential
             decay.
         recent_usage_at: clock time of the recent usage, seconds.
@@ -73,14 +74,14 @@
         self.reserved = max(0.0, self.reserved - units)
 
     def has_local_share(self, instances: int, lag: float, now: float) -> bool:
-        """Return whether units are left in this instance's share for now.
+        """Return whether this instance may use more of the remaining units.
 
-        Guards against instances that all hand out the same remaining units:
+        Guards against instances that all use the same remaining units:
         with reports that are a second old, they would admit a multiple of
         what is left for a workspace at many times its limit. Shares apply
         only if less is left than is used until the next report, since
-        callers do not spread evenly over instances. The size of the request
-        does not matter, as for the limit itself.
+        callers do not spread evenly over instances. As for the limit itself,
+        the size of the request does not matter.
         """
         if now >= self.unreported_until:
             return True
--- a/citronport/scheduler/direct/cold_starts.py
+++ b/citronport/scheduler/direct/cold_starts.py
@@ -13,13 +13,13 @@
 """
 
 SENDER_SHARE = 0.8
-"""Share of a cold endpoint's rate that the known instances use together.
+"""Share of a cold endpoint's rate that all senders use together.
 
 The rest is for instances that do not know each other yet.
 """
 
 OWNER_SHARE = 0.5
-"""Share of that rate that the owner of the endpoint hands out.
+"""Share of a cold endpoint's rate that its owner uses.
 
 Two owners at once plus one request of each instance that finds no owner stay
 below the bound of one and a half times the rate plus five requests.
--- a/citronport/scheduler/direct/endpoint_limits.py
+++ b/citronport/scheduler/direct/endpoint_limits.py
@@ -48,9 +48,9 @@
     """Enforces the limits that endpoints announce, across all instances.
 
     An overloaded endpoint states in its answers how many requests per second
-    it accepts from all instances together. The owner of the endpoint hands
-    out no more than that. Instances that find no owner have a fixed share
-    each; otherwise each of them would go on as before.
+    it accepts from all instances together. The owner of the endpoint sends
+    no more than that. Instances that find no owner have a fixed share each;
+    otherwise each of them would use the full limit.
     """
 
     def __init__(self) -> None:
@@ -155,8 +155,8 @@
         if limit.rate == rate:
             return False
         if limit.rate is None:
-            # Until now it got requests without a limit, so that the bucket
-            # starts empty.
+            # The endpoint got requests without a limit until now, so that
+            # the bucket starts empty.
             limit.tokens = 0.0
             limit.refilled_at = now
         limit.rate = rate
--- a/citronport/scheduler/direct/health.py
+++ b/citronport/scheduler/direct/health.py
@@ -14,7 +14,7 @@
 
 FAILURE_HALF_LIFE_SECONDS = 5.0
 """Half-life of a failure share without new answers, so that an endpoint that
-is no longer chosen gets another chance."""
+is no longer chosen is tried again."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -78,7 +78,7 @@
             record.probing = True
 
     def record_no_result(self, endpoint: str) -> None:
-        """Record that a request ended without a result, good or bad."""
+        """Record that a request ended neither with an answer nor a failure."""
         record = self._records.get(endpoint)
         if record is not None:
             record.probing = False
--- a/citronport/scheduler/direct/leases.py
+++ b/citronport/scheduler/direct/leases.py
@@ -9,8 +9,8 @@
 """Interval at which a holder renews all its leases."""
 
 EXPIRE_SECONDS = 1.6
-"""Time after which a lease expires without renewal. Three renewals may be
-lost, and the slots of a dead instance are free within two seconds."""
+"""Time after which a lease expires without renewal. Two renewals may be lost,
+and the slots of a dead instance are free within two seconds."""
 
 RENEW_GRACE_SECONDS = 0.3
 """Age from which a lease has to be included in renewals; a younger one may
@@ -98,8 +98,8 @@
         """Replace the leases of a holder by those that it reports.
 
         Corrects the effects of lost datagrams and owner failures: a lease
-        whose end was lost blocks a free slot, and a new owner takes full
-        endpoints for idle ones.
+        whose end was lost blocks a free slot, and a new owner assumes that
+        full endpoints are idle.
 
         Args:
             holder: name of the instance.
--- a/citronport/scheduler/direct/load_tracker.py
+++ b/citronport/scheduler/direct/load_tracker.py
@@ -94,8 +94,8 @@
             work: the request.
             now: clock time, seconds.
             service: service of the endpoint if a slot is free there, else
-                empty. The profile then learns from this request, whose
-                times include no wait for a slot.
+                empty. Its profile learns only from requests with a service,
+                whose times include no wait for a slot.
         """
         run = runs.Run(work.request_id, work.prompt_tokens, now)
         run.service = service
@@ -116,7 +116,7 @@
     def record_remote_request(
         self, endpoint: str, request_id: str, prefill_tokens: int
     ) -> None:
-        """Count another instance's request among the own ones."""
+        """Count a request of another instance as one of the own requests."""
         run = runs.Run(request_id, prefill_tokens, 0.0)
         if not prefill_tokens:
             run.first_event_at = 0.0
@@ -293,7 +293,10 @@
         return len(self._own.get(endpoint, ()))
 
     def get_step_ms(self, endpoint: str) -> float:
-        """Return the median of the step times that instances measured."""
+        """Return the median of all instances' step times of an endpoint.
+
+        Without any, returns the typical step time.
+        """
         median = self._median_step_ms.get(endpoint)
         if median is None:
             median = self._median_step_ms[endpoint] = (
@@ -334,8 +337,8 @@
         seconds = self._answer_seconds.get(endpoint)
         if seconds is not None:
             return seconds
-        # An untried endpoint has to look slightly better than the best of
-        # the others, or it would never be tried.
+        # An untried endpoint is assumed to be slightly faster than the best
+        # of the others, or it would never be chosen.
         best = min(
             self._answer_seconds.values(), default=DEFAULT_ANSWER_SECONDS
         )
--- a/citronport/scheduler/direct/ownership.py
+++ b/citronport/scheduler/direct/ownership.py
@@ -64,8 +64,8 @@
     Without owners, each of sixty instances would see a sixtieth of the
     requests and learn of the rest 0.75 s later. All would send to the same
     idle-looking endpoint, and urgent requests would queue behind those of
-    other instances. An owner knows the load of its endpoints to within a few
-    milliseconds.
+    other instances. An owner learns of each change in the load of its
+    endpoints within a few milliseconds.
 
     All instances choose the same owner by rendezvous hashing, without
     coordination. While their views differ, two instances may lease out slots
--- a/citronport/scheduler/direct/quota.py
+++ b/citronport/scheduler/direct/quota.py
@@ -1,7 +1,7 @@
 """Fleet-wide rate limits of workspaces, without a shared counter.
 
 Each instance counts the units that it admits and reports its running totals
-to the others. Each charges its own bucket with the usage of all.
+to the others. Each charges its own buckets with the usage of all instances.
 """
 
 from citronport.scheduler.direct import buckets as bucket_module
@@ -9,7 +9,7 @@
 from citronport.scheduler.direct import usage
 
 TOLERANCE_SHARE = 0.8
-"""Share of the operators' tolerance that is used if reports arrive at once.
+"""Share of the operators' tolerance that is used if reports have no delay.
 
 Totals of other instances are one report late, so that buckets enforcing the
 exact limit would refuse requests within it. Admitting more is harmless as
@@ -30,7 +30,7 @@
 """Longest retry delay; callers wait for only a part of their deadline."""
 
 STARTUP_SECONDS = 2.0
-"""How long an instance counts as new. Instances hear from each other within
+"""How long an instance counts as new. It gets the totals of the others within
 one or two reports, which is half a second in a fleet of seven."""
 
 MIN_STARTUP_INSTANCES = 8
@@ -43,7 +43,7 @@
 MINORITY_SHARE = 0.5
 """Share of its proportional part of a limit that a minority uses.
 
-The majority continues with the whole limit, since callers leave instances
+The majority continues with the full limit, since callers leave instances
 that the others can't reach. All minorities together are less than half of the
 fleet, so that the sum stays below one and a quarter times the limit, which is
 what operators tolerate.
@@ -119,8 +119,8 @@
             self._usage.add(workspace.name, units)
             return None
         # Refused callers get staggered retry delays, at the rate of the
-        # limit. If all were told when the next unit is free, they would
-        # return at the same time and all but one would be refused again.
+        # limit. If all got the time of the next free unit, they would return
+        # at the same time and all but one would be refused again.
         wait = (needed - bucket.level + bucket.reserved) / rate
         bucket.reserved += units
         return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
@@ -199,7 +199,7 @@
         """Return the rate and burst that this instance may use.
 
         Keeps the sum within the tolerance during a network partition, when
-        each partition would otherwise admit the whole limit. The majority
+        each partition would otherwise admit the full limit. The majority
         reserves what the minorities may use, and so keeps most of the
         tolerance if a single instance is unreachable. A minority uses only a
         share of its proportional part.
@@ -225,9 +225,10 @@
     """Return the rate and burst of an instance that has just started.
 
     If all instances are killed and restart while a workspace is far over its
-    limit, they have lost their totals, and each would admit a whole burst
-    before hearing from the others. An instance therefore starts with its
-    share of the burst and uses its share of the rate until it gets a report.
+    limit, they have lost their totals, and each would admit a full burst
+    before the first report of the others arrives. An instance therefore
+    starts with its share of the burst and uses its share of the rate until it
+    gets a report.
     """
     share = 1.0 / max(MIN_STARTUP_INSTANCES, instances)
     return workspace.rate * share, workspace.burst * share
--- a/citronport/scheduler/direct/runs.py
+++ b/citronport/scheduler/direct/runs.py
@@ -8,8 +8,8 @@
 generates a token for each running request."""
 
 SPAN_EVENTS = 4
-"""Events in one measured span. Shorter spans are too coarse, as there is no
-time between events that arrive together."""
+"""Events in one measured span. Shorter spans are too coarse, as several
+events may arrive at the same time."""
 
 SPANS_PER_SAMPLE = 4
 """Spans in one sample, of which the fastest is used. Prompts are rarely
--- a/citronport/scheduler/direct/selection.py
+++ b/citronport/scheduler/direct/selection.py
@@ -17,7 +17,7 @@
 
 An engine admits requests in order of arrival, so that more urgent ones can't
 overtake those that wait there. One waiting request keeps the engine busy
-until the news of a free slot arrives.
+until this instance learns of a free slot.
 """
 
 FAILURE_PENALTY_SECONDS = 2.0
@@ -35,8 +35,8 @@
     """Return the size of the random sample of endpoints for one choice.
 
     Sampling avoids a thundering herd: with sixty instances and reports that
-    are 0.7 s old, all would see the same idle endpoint and send there at
-    once, and to the next one a report later. The sample is chosen so that an
+    are 0.7 s old, all would send to the same idle endpoint at once, and
+    to another one after the next report. The sample is chosen so that an
     endpoint is considered by about as many instances as can learn of each
     other's sends in time.
     """
--- a/citronport/scheduler/direct/suspects.py
+++ b/citronport/scheduler/direct/suspects.py
@@ -9,7 +9,7 @@
 
 BAR_THRESHOLD = 3
 """Number of endpoint crashes after which a request is barred. A crash counts
-for all requests on the endpoint, so that an innocent request may easily be
+for all requests on the endpoint, so that a harmless request may well be
 involved in one or two."""
 
 KEEP_SECONDS = 600.0
@@ -54,7 +54,7 @@
         return True
 
     def clear_crashes(self, at: float) -> bool:
-        """Drop the crashes before a complete answer; return if any were."""
+        """Drop crashes up to a complete answer; return whether any were."""
         crashes = {
             start: crashed_at
             for start, crashed_at in self.crashes.items()
--- a/citronport/scheduler/direct/usage.py
+++ b/citronport/scheduler/direct/usage.py
@@ -112,8 +112,9 @@
         )
         reporter = self._envoys.get((data_centre, envoy))
         if reporter is None:
-            # Without earlier totals there is no increase to charge. The next
-            # known envoy has the totals from which the silent one left off.
+            # Without earlier totals there is no increase to charge. Only an
+            # envoy that is already known has the totals at which the active
+            # one stopped.
             self._envoys[data_centre, envoy] = _Reporter(
                 incarnation, dict(totals), now
             )
--- a/citronport/scheduler/direct/wait_queue.py
+++ b/citronport/scheduler/direct/wait_queue.py
@@ -8,14 +8,14 @@
 
 MAX_WAIT_OBJECTIVES = 2.0
 """Longest wait as a multiple of a request's objective. Callers of streams
-leave after at most four objectives; the rest is left to the endpoint to
-start."""
+disconnect after at most four objectives; the endpoint needs the rest for the
+first event."""
 
 MAX_WAIT_DEADLINE_SHARE = 0.5
 """Longest wait as a share of the time until the deadline."""
 
 MIN_RETRY_AFTER_SECONDS = 0.5
-"""Shortest retry delay for a request that waited in vain."""
+"""Shortest retry delay for a request that got no slot in time."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
@@ -28,7 +28,7 @@
         tried: endpoints to which it must not be sent again.
         handle: object with which the runtime wakes it.
         leased: whether it belongs to another instance, which leases its
-            slot.
+            slot from this one.
     """
 
     work: models.Work
@@ -109,9 +109,9 @@
         told to retry only after their longest wait, when the time in which
         they could have been served is over.
 
-        Counts only requests that are already ahead in the queue. Predicting
-        more urgent arrivals from the recent rate refused requests during
-        two-second bursts that ended before the requests would have timed out.
+        Counts only requests that are already ahead in the queue. A
+        prediction of more urgent arrivals from the recent rate would refuse
+        requests in two-second bursts, which end before these time out.
 
         Args:
             waiter: the request; it may be in the queue already.
