--- a/citronport/scheduler/direct/buckets.py
+++ b/citronport/scheduler/direct/buckets.py
@@ -9,9 +9,9 @@
 gets more of a workspace's requests than another."""
 
 USAGE_HALF_LIFE_SECONDS = 4.0
-"""Half-life of the recent usage. Longer than it takes to pay back the debt of a
-flood. Otherwise the usage would have decayed by then, instances would not be
-held to their shares, and all would admit the flood again at once."""
+"""Half-life of the recent usage. Longer than it takes to pay back the debt of
+a flood. Otherwise the usage would have decayed by then, instances would not
+be held to their shares, and all would admit the flood again at once."""
 
 USAGE_MARGIN = 2.0
 """Factor by which usage may exceed the recent rate until the next report."""
