--- a/citronport/relay/replication.py
+++ b/citronport/relay/replication.py
@@ -156,8 +156,8 @@
         lag = LAG_SECONDS if follows_store else 0.0
         if now - self._behind_since < lag:
             return
-        newest = self._choose_source(ahead)
-        held = self._fetch(newest, include_large=False)
+        source = self._choose_source(ahead)
+        held = self._fetch(source, include_large=False)
         if held is None:
             return
         self._fetched_revision = held.revision
@@ -168,7 +168,7 @@
             # changes that follow would wait for them: requests were sent to
             # endpoints that had left while a configuration was transferred.
             self._full_fetch = gevent.spawn(
-                self._fetch, newest, include_large=True
+                self._fetch, source, include_large=True
             )
 
     def _choose_source(self, ahead: list[messages.Report]) -> messages.Report:
--- a/citronport/relay/reports.py
+++ b/citronport/relay/reports.py
@@ -116,11 +116,13 @@
         self._board.apply_report(
             report.instance, [tuple(row) for row in report.loads]
         )
-        for service, begin, read, stay in report.profiles:
+        for service, base, per_token, total in report.profiles:
             self._board.profiles.set_remote(
                 service,
                 profiles_module.Profile(
-                    base_steps=begin, steps_per_token=read, total_steps=stay
+                    base_steps=base,
+                    steps_per_token=per_token,
+                    total_steps=total,
                 ),
             )
         self._quotas.apply_totals(
--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -107,11 +107,13 @@
             summary.admitted_units,
             now,
         )
-        for service, begin, read, stay in summary.profiles:
+        for service, base, per_token, total in summary.profiles:
             self._profiles.set_remote(
                 service,
                 profiles_module.Profile(
-                    base_steps=begin, steps_per_token=read, total_steps=stay
+                    base_steps=base,
+                    steps_per_token=per_token,
+                    total_steps=total,
                 ),
             )
         return True
--- a/tests/relay/nodes.py
+++ b/tests/relay/nodes.py
@@ -74,7 +74,7 @@
             self.members,
             self.mirror,
             ticker,
-            lambda items, returned: self.changed_keys.extend(
+            lambda items, recovered_at: self.changed_keys.extend(
                 i.key for i in items
             ),
             self.follower,
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -142,13 +142,13 @@
 
     def test_standby_retries_less_often(self):
         """Guards against hundreds that retry as often as eight readers."""
-        asked = {}
+        retries = {}
         for reader in (True, False):
             self.follower._is_reader = lambda reader=reader: reader
             self.follower._retry_seconds = follower_module.RETRY_SECONDS
             until = self.ticker.now() + 30.0
-            asked[reader] = 0
+            retries[reader] = 0
             while self.ticker.now() < until:
                 self.follower.back_off()
-                asked[reader] += 1
-        self.assertLess(asked[False], 0.7 * asked[True])
+                retries[reader] += 1
+        self.assertLess(retries[False], 0.7 * retries[True])
