--- a/citronport/relay/eventlog.py
+++ b/citronport/relay/eventlog.py
@@ -1,6 +1,6 @@
 """Structured log lines: one JSON object a line, on standard output.
 
-Writing never blocks: lines that the reader does not take in time are counted
+Writing never blocks: lines that the reader does not read in time are counted
 and dropped.
 """
 
@@ -100,7 +100,7 @@
             except BlockingIOError:
                 return False
             except OSError:
-                # The reader is gone, and the loss can't be logged elsewhere.
+                # The reader has closed the pipe; the loss can't be logged.
                 self._unsent = b""
                 return True
             self._unsent = self._unsent[written:]
--- a/citronport/relay/events.py
+++ b/citronport/relay/events.py
@@ -196,7 +196,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerChanged:
-    """The owner of a service's endpoints, which grants places, changed."""
+    """The owner of a service's endpoints, which grants slots, changed."""
 
     service: str
     pool: int
@@ -206,14 +206,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerSilent:
-    """An owner did not answer and is skipped for a while."""
+    """An owner did not answer and is skipped temporarily."""
 
     owner: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRefused:
-    """A request was refused before it was queued for a place.
+    """A request was refused before it was queued for a slot.
 
     Attributes:
         request: id of the request; empty if its head holds none.
@@ -279,7 +279,7 @@
         request: id of the request.
         endpoint: name of the endpoint.
         attempt: number of the send, from 1.
-        what: what happened.
+        what: description of the failure.
         ran: whether the request ran: "yes", "no" or "maybe".
         cut: whether the endpoint's connection broke during the send.
         fingerprint: identical for requests with identical content.
--- a/citronport/relay/explanation.py
+++ b/citronport/relay/explanation.py
@@ -62,7 +62,7 @@
         paths: log files; lines that hold no event are skipped.
 
     Returns:
-        The explanation, or a line that says why there is none.
+        The explanation, or the reason why there is none.
     """
     lines: list[Line] = []
     for path in paths:
--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -34,7 +34,8 @@
 count: a watch and its answer take up to 2.8 s."""
 
 STANDBY_POLL_SECONDS = 0.2
-"""Interval at which an instance on standby checks whether it still may be."""
+"""Interval at which an instance on standby checks whether it has to read the
+store itself."""
 
 BATCH_SECONDS = 0.25
 """Pause after a change before the next watch. Changes come in groups, for
@@ -103,14 +104,15 @@
         mirror: the local copy of the store.
         ticker: the clock.
         deliver: called with the items that changed.
-        log: receives events on losses of the store.
+        log: receives events on outages of the store.
         compute_standby_age: returns the age of the store's latest answer to
             the readers, seconds; None if this instance has to read the
             store itself.
         is_reader: returns whether this instance is one of the readers.
 
     Attributes:
-        on_standby: whether this instance leaves the store to the readers.
+        on_standby: whether this instance fetches changes from other instances
+            instead of calling the store.
         answered_at: clock time of the store's latest answer to this
             instance or, on standby, to a reader.
         recovered_at: clock time at which the latest outage ended; minus
@@ -233,12 +235,12 @@
 
     def _choose_watch_seconds(self) -> float:
         """Return how long the store may hold the next watch, seconds."""
-        # A watch that is pending when a silent store recovers is never
-        # answered and hides the recovery until it times out. All instances
-        # watch in step, so no other instance would know more, and callers
-        # got status 404 for routes that the store had confirmed. A watch
-        # that the store must answer at once times out after
-        # ANSWER_TIMEOUT_SECONDS.
+        # A watch that is pending when an unresponsive store recovers is
+        # never answered and hides the recovery until it times out. All
+        # instances watch in step, so no other instance would have newer
+        # data, and callers got status 404 for routes that the store had
+        # confirmed. A watch that the store must answer at once times out
+        # after ANSWER_TIMEOUT_SECONDS.
         return 0.0 if self._failing_since is not None else WATCH_SECONDS
 
     def _start_call(self) -> float:
--- a/citronport/relay/gossip.py
+++ b/citronport/relay/gossip.py
@@ -21,29 +21,31 @@
 LOG = "fleet:"
 
 REPORT_SECONDS = 0.1
-"""Pause between two reports while requests run here. What others know of
-an endpoint is that old at most; a prompt takes about as long to read."""
+"""Minimum pause between two reports while requests run here. The loads that
+other instances know are about this old; an endpoint takes about as long to
+process a prompt."""
 
 IDLE_REPORT_SECONDS = 0.3
-"""Pause between two reports of an instance without work: three of them
-fit into the time after which it counts as out of reach."""
+"""Minimum pause between two reports of an instance without requests: three
+such pauses fit into the time after which it counts as out of reach."""
 
 FIRST_SEED_SECONDS = 0.1
 """First pause between two reports to seeds while no other instance is known;
-each later one is twice as long. After a power failure the seeds themselves
-may still be starting."""
+each later one is twice as long, up to ``SEED_SECONDS``. After a power failure
+the seeds themselves may still be starting."""
 
 SEED_SECONDS = 1.0
-"""Pause between two reports to seeds while new instances show up."""
+"""Pause between two reports to seeds while instances are being discovered."""
 
 SETTLED_SEED_SECONDS = 10.0
-"""The same in a settled fleet: needed only by two parts of a fleet that have
-forgotten each other during a long partition."""
+"""Pause between two reports to seeds in a settled fleet. They are needed only
+to rejoin parts of a fleet that have removed each other from their members
+during a long partition."""
 
 ANNOUNCERS = 2
-"""Number of readers that announce changes to an instance on standby at once.
-In a fleet of 60, each reader then sends 15 reports. If both fail, the next
-report of any instance shows that there are changes."""
+"""Number of readers that announce each change to an instance on standby. In a
+fleet of 60, each reader then sends 15 reports. If both announcements are lost,
+the next report of any instance that has the change shows its revision."""
 
 GROUP_SIZE = 12
 """Reports sent without a pause: 24 KB take 20 ms on the slowest link."""
@@ -55,8 +57,8 @@
     """Sends and receives the datagrams between instances.
 
     Args:
-        settings: where this instance listens.
-        members: what is known of the others.
+        settings: settings of this instance.
+        members: the other instances.
         ticker: the clock.
         make_report: returns this instance's report.
         handle_report: called with each new report.
@@ -92,7 +94,7 @@
         self._reachable: set[str] = set()
 
     def update_settings(self, settings: settings_module.Settings) -> None:
-        """Take new settings; addresses of this instance stay."""
+        """Use new settings; the addresses of this instance don't change."""
         self._settings = settings
 
     def open(self) -> None:
@@ -131,13 +133,13 @@
     def send_report(
         self, report: messages.Report, spread_seconds: float = 0.0
     ) -> None:
-        """Send a report to other instances, and to seeds now and then.
+        """Send a report to other instances and, at longer intervals, to seeds.
 
         Reports are sent in small groups and in random order. Sixty reports
         of 2 KB at once overflow the queue of a link of 10 Mbit/s, which
-        drops the same ones each time. Some instances then heard of a quarter
-        of the others only, took themselves for partitioned, and refused
-        callers far below their limits.
+        drops the same ones each time. Some instances then received reports
+        of only a quarter of the others, considered themselves partitioned,
+        and refused requests far below the limits of workspaces.
 
         Args:
             report: the report to send.
@@ -241,8 +243,9 @@
             self._send_datagram(data, address)
 
     def _answer_meet(self, meet: messages.Meet) -> None:
-        # The sender gets summaries of this data centre anyway. It has to
-        # discover instances of its own one, which forward summaries.
+        # An instance of another data centre gets summaries of this one, not
+        # reports. The answer names instances of its own data centre, which
+        # forward these summaries to it.
         if self._members.is_remote(meet.data_centre):
             report = self._make_report(meet.data_centre)
             self._send_datagram(
@@ -250,13 +253,13 @@
             )
 
     def _report_to_new_instances(self) -> None:
-        """Report at once to instances that have just shown up.
+        """Report at once to instances that have just been discovered.
 
-        When all instances restart, their callers come back at once. With
-        reports of idle instances only, the instances would take a third of
-        a second or more to discover each other. Until then each grants
-        places on its own, and all of them choose the endpoints that look
-        idle.
+        When all instances restart, their callers reconnect at once. If the
+        instances waited for the next regular report of an idle instance,
+        they would need a third of a second or more to discover each other.
+        Until then each grants slots on its own, and all of them choose the
+        endpoints that seem to be idle.
         """
         new_addresses = self._members.take_new_addresses()
         if not new_addresses:
@@ -270,17 +273,17 @@
 
     def _send_datagram(self, data: bytes, address: str) -> None:
         host = address.rpartition(":")[0]
-        # A datagram that can't be sent is one that got lost: the next one
-        # of its kind makes up for it.
+        # A datagram that can't be sent is treated as lost: the next one of
+        # its kind replaces it.
         with contextlib.suppress(OSError):
             self._socket.sendto(data, (host, self._settings.reports))
 
     def announce_changes(self) -> None:
-        """Report at once to instances on standby that the store has changed.
+        """Report the revision of the store to instances on standby at once.
 
-        In a fleet of sixty, reports are sent every 0.75 s. Without the
-        announcement most instances would keep sending requests for as long
-        to an endpoint that has started to leave.
+        In a fleet of sixty, reports are sent every 0.75 s. Without this
+        announcement, most instances would keep sending requests for up to
+        that time to an endpoint that has started to leave.
         """
         now = self._ticker.now()
         instances = self._members.list_known(now)
--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -17,15 +17,15 @@
 are merely late must not lose all its callers at once."""
 
 KNOWN_SECONDS = 30.0
-"""How long a silent instance is assumed to still serve callers.
+"""How long after its latest report an instance is assumed to serve callers.
 
 An instance that is partitioned from the others keeps serving its share of
 each limit. Limits have to hold during partitions of up to half a minute.
 """
 
 FORGET_SECONDS = 300.0
-"""How long reports are still sent to a silent instance, so that the parts of
-a fleet find each other again after a partition."""
+"""How long reports are still sent to an instance that sends none, so that the
+parts of a fleet discover each other again after a partition."""
 
 REPORTS_PER_SECOND = 80.0
 """Maximum rate of reports that an instance receives. In a large data centre
@@ -124,12 +124,12 @@
 
     def is_large(self) -> bool:
         """Return whether data centres exchange summaries."""
-        # Silent instances count as well: a fleet that a partition has
+        # Instances out of reach count as well: a fleet that a partition has
         # halved must not switch its mode of exchange meanwhile.
         return len(self._members) + 1 >= LARGE_FLEET
 
     def is_remote(self, data_centre: str) -> bool:
-        """Return whether a data centre is known by summaries only."""
+        """Return whether a data centre sends summaries instead of reports."""
         return data_centre != self._data_centre and self.is_large()
 
     def is_alone(self) -> bool:
@@ -141,7 +141,7 @@
         return self.is_alone() or now - self._last_added_at < GROWING_SECONDS
 
     def is_settled(self, now: float) -> bool:
-        """Return whether no instance has been discovered for a while.
+        """Return whether no instance has been discovered recently.
 
         Args:
             now: clock time, seconds.
@@ -151,7 +151,7 @@
         return now - self._last_added_at > SETTLED_SECONDS
 
     def apply_report(self, report: messages.Report, now: float) -> bool:
-        """Store a report; return False if it is outdated or one's own.
+        """Store a report; return False if outdated or from this instance.
 
         Args:
             report: report of another instance.
@@ -195,7 +195,7 @@
                 member.peer_address = peer_address
 
     def drop_forgotten(self, now: float) -> None:
-        """Remove the instances that have been silent for too long."""
+        """Remove instances that sent no report for ``FORGET_SECONDS``."""
         gone = [
             n for n, m in self._members.items() if not _is_remembered(m, now)
         ]
@@ -246,7 +246,8 @@
             report = member.report
             if report is None or now - member.reported_at > KNOWN_SECONDS:
                 continue
-            # An instance that announced its shutdown is gone once silent.
+            # An instance that announced its shutdown no longer serves callers
+            # once its reports stop.
             if (
                 report.leaving
                 and now - member.reported_at > self._get_remote_fresh_seconds()
@@ -318,8 +319,8 @@
         """Return the addresses that this instance sends summaries to now.
 
         One random instance of each data centre to which this instance is an
-        envoy. It differs from time to time, so that a receiver that is dead
-        or partitioned costs one summary only.
+        envoy. The choice varies, so that a receiver that is dead or
+        partitioned costs one summary only.
         """
         if not self.is_large():
             return []
--- a/citronport/relay/messages.py
+++ b/citronport/relay/messages.py
@@ -110,8 +110,8 @@
         admitted_units: units that all instances of the data centre have
             admitted since the sender's start, by workspace.
         profiles: as in a report.
-        members: as in a report; two data centres that do not know each
-            other are introduced by a third one.
+        members: as in a report; they let two data centres discover each
+            other through a third one.
         suspects: as in a report.
         limits: as in a report.
     """
@@ -174,7 +174,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ask:
-    """Asks the owner of a service's endpoints for a place for a request.
+    """Asks the owner of a service's endpoints for a slot for a request.
 
     It is repeated until it is answered and while the request waits. It is
     idempotent: a repetition with the same request id changes nothing.
@@ -210,7 +210,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Granted:
-    """Answers ``Ask``: the request has a place.
+    """Answers ``Ask``: the request has a slot.
 
     Attributes:
         protocol: version of the protocol.
@@ -233,7 +233,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Queued:
-    """Answers ``Ask``: the request waits for a place."""
+    """Answers ``Ask``: the request waits for a slot."""
 
     protocol: int
     request: str
@@ -241,12 +241,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Full:
-    """Answers ``Ask``: the request would not get a place in time.
+    """Answers ``Ask``: the request would not get a slot in time.
 
     Attributes:
         protocol: version of the protocol.
         request: id of the request.
-        seconds: time after which it may get a place.
+        seconds: time after which it may get a slot.
     """
 
     protocol: int
@@ -273,13 +273,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ended:
-    """Notifies the owner that a request no longer needs its place.
+    """Notifies the owner that a request no longer needs its slot.
 
     Attributes:
         protocol: version of the protocol.
         instance: name of the sender.
         request: id of the request.
-        endpoint: endpoint of its place; empty if it stops waiting.
+        endpoint: endpoint of its slot; empty if it stops waiting.
         verdict: a ``runs.Verdict`` on the endpoint.
         pace: measured pace, nanoseconds a step; 0 if not measured.
         seconds: duration of an answer that was not streamed; 0 without one.
@@ -296,7 +296,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Holding:
-    """Notifies an owner of all its leases that an instance holds.
+    """Notifies an owner of all leases that the sender holds from it.
 
     Attributes:
         protocol: version of the protocol.
--- a/citronport/relay/metrics.py
+++ b/citronport/relay/metrics.py
@@ -73,8 +73,8 @@
         store_calls: calls to the store since the start.
         store_failures: calls to the store without a usable answer.
         summaries_made: summaries made of this data centre.
-        summaries_taken: summaries applied of other data centres; the same
-            one counts once.
+        summaries_taken: summaries of other data centres that were applied;
+            duplicates are not counted.
         news_taken: successful fetches of changes from other instances.
         news_failed: fetches that failed or timed out.
         news_received: bytes received by all fetches.
@@ -82,7 +82,7 @@
         endpoints: listed endpoints.
         cold: cold endpoints.
         limited: endpoints that name a limit in their answers.
-        leases: places granted to other instances now.
+        leases: slots granted to other instances now.
         barred: requests that are not sent any more, as they are suspected
             of crashing endpoints.
         lines_dropped: log lines dropped since they were last logged.
--- a/citronport/relay/replication.py
+++ b/citronport/relay/replication.py
@@ -25,9 +25,9 @@
 LOG = "news:"
 
 LAG_SECONDS = 0.3
-"""How long another instance may be ahead before its changes are fetched: as a
-rule this instance's own watch returns them within a few milliseconds. An
-instance on standby fetches at once."""
+"""How long another instance may be ahead before its changes are fetched. This
+instance's own watch normally returns them within a few milliseconds. An
+instance on standby, which has no watch, fetches at once."""
 
 POLL_SECONDS = 0.1
 """Interval between two checks whether another instance is ahead."""
@@ -47,8 +47,9 @@
 READ_BYTES = 65536
 
 SEND_BYTES = 16384
-"""Number of bytes that have to be sent within ``IDLE_TIMEOUT_SECONDS``. A slow
-link that sixty others share has room for them in each second."""
+"""Size of the pieces in which an answer is sent. Each piece has to be sent
+within ``IDLE_TIMEOUT_SECONDS``; a link of 10 Mbit/s that sixty fetches share
+can send one for each of them in a second."""
 
 
 class Replication:
@@ -148,8 +149,8 @@
             return
         if self._behind_since is None:
             self._behind_since = now
-        # An instance without a first copy fetches at once, too, since it
-        # can't serve callers yet.
+        # An instance without a copy of the store can't serve callers yet, so
+        # it fetches at once as well.
         follows_store = (
             self._mirror.revision > 0 and not self._follower.on_standby
         )
@@ -164,15 +165,15 @@
         if held.is_complete:
             self._behind_since = None
         elif not is_full_fetch_running:
-            # Large values are fetched by a separate greenlet. In this task,
-            # changes that follow would wait for them: requests were sent to
+            # A separate greenlet fetches large values. When this task
+            # fetched them, later changes waited, and requests were sent to
             # endpoints that had left while a configuration was transferred.
             self._full_fetch = gevent.spawn(
                 self._fetch, source, include_large=True
             )
 
     def _choose_source(self, ahead: list[messages.Report]) -> messages.Report:
-        """Return the instance to fetch from, one nearby if possible."""
+        """Return the instance to fetch from, a local one if possible."""
         revision = max(r.revision for r in ahead)
         newest = [r for r in ahead if r.revision == revision]
         local = [
--- a/citronport/relay/reports.py
+++ b/citronport/relay/reports.py
@@ -63,7 +63,7 @@
         self._number = 0
 
     def update_settings(self, settings: settings_module.Settings) -> None:
-        """Take new settings; addresses of this instance stay."""
+        """Use new settings; the addresses of this instance don't change."""
         self._settings = settings
 
     def make(self, data_centre: str = "") -> messages.Report:
--- a/citronport/relay/settings.py
+++ b/citronport/relay/settings.py
@@ -46,8 +46,8 @@
         limit_over: tolerated excess over a workspace's limit, as a share of
             the limit.
         limit_slack: tolerated excess beyond that, in units.
-        reuse_seconds: time after which the address of a gone endpoint may
-            be used by another one.
+        reuse_seconds: time after which the address of an endpoint that has
+            left may be used by another one.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -78,7 +78,7 @@
         )
 
     def apply(self, summary: messages.Summary, now: float) -> bool:
-        """Apply a summary; return False if it is outdated or one's own.
+        """Apply a summary; return False if it is outdated or a local one.
 
         Args:
             summary: summary of any data centre.
--- a/tests/relay/nodes.py
+++ b/tests/relay/nodes.py
@@ -1,4 +1,4 @@
-"""The parts of an instance that talk to other instances, for tests."""
+"""The parts of an instance that exchange data with others, for tests."""
 
 import gevent
 
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -55,7 +55,7 @@
         self.assertEqual(["op/config"], self.mirror.list_keys())
 
     def test_end_of_outage_is_recorded(self):
-        """The end is needed to tell lapsed entries from removed ones."""
+        """The end is needed to distinguish lapsed from removed entries."""
         self.follower.poll()
         self.store.mode = "busy"
         self.assertFalse(self.follower.poll())
@@ -141,7 +141,7 @@
         self.assertLess(self.ticker.now() - began, 0.5)
 
     def test_standby_retries_less_often(self):
-        """Guards against hundreds that retry as often as eight readers."""
+        """Guards against hundreds of instances retrying like eight readers."""
         retries = {}
         for reader in (True, False):
             self.follower._is_reader = lambda reader=reader: reader
--- a/tests/relay/test_gossip.py
+++ b/tests/relay/test_gossip.py
@@ -16,11 +16,11 @@
     def test_reports_are_sent_in_small_groups(self):
         """Guards against refusals far below a limit.
 
-        An instance sends its report to all others at once; its link drops
-        what does not fit into its queue, each time the last ones of the
-        same order. Those hear of a quarter of the fleet, take themselves
-        for a minority, and use a small part of each limit. Groups must be
-        small and together hold all targets.
+        If an instance sends its report to all others at once and in the
+        same order, its link drops the last ones each time, as they do not
+        fit into its queue. Their receivers get reports of a quarter of the
+        fleet, consider themselves a minority, and use a small part of each
+        limit. Groups must be small and together contain all targets.
         """
         targets = [f"10.0.0.{n}:1" for n in range(59)]
         groups = gossip.split_targets(targets)
@@ -29,13 +29,13 @@
         self.assertGreater(len(groups), 4)
 
     def test_last_target_varies(self):
-        """Reports that are lost nevertheless differ in their receivers."""
+        """If reports are lost nevertheless, their receivers vary."""
         targets = [f"10.0.0.{n}:1" for n in range(59)]
         last = {gossip.split_targets(targets)[-1][-1] for _ in range(20)}
         self.assertGreater(len(last), 3)
 
     def test_no_targets(self):
-        """An instance that knows nobody has nothing to send."""
+        """An instance that knows no others has nothing to send."""
         self.assertEqual([], gossip.split_targets([]))
 
 
@@ -43,11 +43,12 @@
     """An instance that has just started, in a small fleet."""
 
     def test_new_instance_is_known_at_once(self):
-        """Callers come as soon as an instance has started.
+        """Guards against an instance that serves callers on its own.
 
-        The new one knows a seed only. The seed answers its first report at
-        once and names the third instance, which hears from the new one and
-        answers too: all know each other without waiting for a report.
+        Callers connect as soon as an instance has started. It only knows a
+        seed, which answers its first report at once and names the third
+        instance. The new instance reports to that one, which answers too:
+        all know each other before the next regular report.
         """
         subnet = addresses.choose_subnet(8)
         new, seed, third = (nodes.Node(self, n, subnet) for n in (1, 2, 3))
--- a/tests/relay/test_membership.py
+++ b/tests/relay/test_membership.py
@@ -51,7 +51,7 @@
         self.assertEqual(["x"], self.list_usable(2.5))
 
     def test_leaving_or_unready_instance_gets_no_callers(self):
-        """Its next report takes it out of the addresses for callers."""
+        """Its next report removes it from the addresses for callers."""
         self.members.apply_report(make_report("x", 2, leaving=True), 0.1)
         self.members.apply_report(make_report("yy", 2, ready=False), 0.1)
         self.assertEqual([], self.list_usable(0.2))
@@ -65,7 +65,7 @@
         self.assertEqual(1.0, self.members.compute_reach(40.0))
 
     def test_one_that_left_does_not_count(self):
-        """An instance that announced its shutdown and is silent is gone."""
+        """An instance does not count for reach after it has shut down."""
         self.members.apply_report(make_report("yy", 2, leaving=True), 0.5)
         self.members.apply_report(make_report("x", 2), 2.0)
         self.assertEqual(1.0, self.members.compute_reach(2.0))
@@ -95,7 +95,7 @@
         self.assertNotIn("zzz", self.list_usable(1.0))
 
     def test_silent_instances_still_get_reports(self):
-        """Both parts find each other again after a minute's partition."""
+        """Both parts rejoin after a partition of one minute."""
         self.assertEqual(2, len(self.members.list_addresses(60.0)))
 
     def test_a_settled_fleet_names_fewer_members(self):
--- a/tests/relay/test_replication.py
+++ b/tests/relay/test_replication.py
@@ -43,11 +43,11 @@
                 node.members.apply_report(report, now)
 
     def test_change_is_fetched_at_once(self):
-        """A standby instance learns at once that an endpoint is leaving.
+        """An instance on standby fetches at once that an endpoint leaves.
 
-        The reader hears of it from the store and tells its part of the
-        others, which fetch the change from it: long before the next report
-        of anybody, and without a call to the store.
+        The reader gets the change from the store and announces it to some
+        of the instances on standby. These fetch it from the reader before
+        the next regular report, and without a call to the store.
         """
         item = models.Item(key="servers/a", value=b"{}", revision=9)
         self.reader.mirror.apply([item], 9)
@@ -58,7 +58,7 @@
         self.assertEqual(9, self.standby.mirror.revision)
 
     def test_standby_announces_nothing(self):
-        """Only readers announce, so that each change comes twice at most."""
+        """Only readers announce, so each change is announced twice at most."""
         item = models.Item(key="servers/a", value=b"{}", revision=9)
         self.standby.mirror.apply([item], 9)
         self.standby.gossip.announce_changes()
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -63,7 +63,7 @@
 
         Their seeds are in a third one. Starts are up to half a second apart,
         as after a power failure. Until the others are known, each instance
-        takes all endpoints for its own.
+        treats all endpoints as its own.
         """
         draw = random.Random(1)
         starts = {node: draw.uniform(0.0, 0.5) for node in self.nodes}
@@ -79,7 +79,7 @@
         self.assert_all_in_reach(self.nodes)
 
     def test_dead_instance_is_out_of_reach_in_time(self):
-        """A dead instance gets no callers and no places after seconds."""
+        """Guards against callers and slots for an instance that died."""
         self.network.run(4.0)
         self.network.dead = {self.nodes[40]}
         self.network.run(BOUND_SECONDS)
@@ -113,7 +113,11 @@
         self.assertEqual(again.incarnation, report.incarnation)
 
     def test_all_know_a_request_that_ended_endpoints_elsewhere(self):
-        """Guards against three more crashes for each data centre or start."""
+        """Guards against a barred request that some instances still send.
+
+        It would crash three more endpoints for each data centre, or for
+        each restart, that does not know of the earlier crashes.
+        """
         self.network.run(4.0)
         for number in range(suspects.BAR_THRESHOLD):
             self.nodes[number].suspects.record_crash(
@@ -130,9 +134,10 @@
             self.assertTrue(node.suspects.is_barred("f1", now))
 
     def test_all_know_a_limit_that_an_endpoint_names_elsewhere(self):
-        """Guards against a limit for each data centre, and a late end.
+        """Guards against a limit that other data centres exceed.
 
-        All instances must know the limit, and then that it is gone.
+        All instances must know the limit, and then that it no longer
+        applies.
         """
         self.network.run(4.0)
         for rate in (2.5, None):
@@ -191,7 +196,7 @@
     def test_reading_does_not_grow_with_the_fleet(self):
         """Guards against a cost that grows with the number of instances.
 
-        It took a part of a core for each hundred instances.
+        Reading reports used a part of a core for each hundred instances.
         """
         for instances, data_centres in ((24, 4), (72, 6)):
             most, _ = self.measure(instances, data_centres)
