--- a/citronport/relay/eventlog.py
+++ b/citronport/relay/eventlog.py
@@ -20,7 +20,7 @@
 second and instance; the lines of a burst of refusals are dropped and
 counted."""
 
-_WORD_END = re.compile(r"(?<!^)(?=[A-Z])")
+_WORD_BOUNDARY = re.compile(r"(?<!^)(?=[A-Z])")
 
 
 class Log:
@@ -42,7 +42,7 @@
         self._instance = instance
         self._ticker = ticker
         self._descriptor = descriptor
-        self._second = 0
+        self._current_second = 0
         self._written = 0
         self._unsent = b""
         self.dropped: collections.Counter[str] = collections.Counter()
@@ -54,8 +54,8 @@
         """Write one event, or count it as dropped."""
         now = self._ticker.now()
         name = get_event_name(type(event))
-        if int(now) != self._second:
-            self._second = int(now)
+        if int(now) != self._current_second:
+            self._current_second = int(now)
             self._written = 0
             self._write_dropped(now)
         if self._written >= LINES_PER_SECOND:
@@ -109,7 +109,7 @@
 
 def get_event_name(kind: type) -> str:
     """Return the name of an event as it is written on a line."""
-    return _WORD_END.sub("_", kind.__name__).lower()
+    return _WORD_BOUNDARY.sub("_", kind.__name__).lower()
 
 
 def _shorten(value: object) -> object:
--- a/citronport/relay/follower.py
+++ b/citronport/relay/follower.py
@@ -140,7 +140,7 @@
         self._ticker = ticker
         self._deliver = deliver
         self._log = log
-        self._started = ticker.now()
+        self._started_at = ticker.now()
         self._needs_full_read = True
         self._retry_seconds = RETRY_SECONDS
         self._failing_since: float | None = None
@@ -227,7 +227,7 @@
         return True
 
     def _wait_for_batch(self) -> None:
-        age = self._ticker.now() - self._started
+        age = self._ticker.now() - self._started_at
         is_starting = age < START_PHASE_SECONDS
         self._ticker.sleep(
             START_BATCH_SECONDS if is_starting else BATCH_SECONDS
--- a/citronport/relay/membership.py
+++ b/citronport/relay/membership.py
@@ -196,10 +196,10 @@
 
     def drop_forgotten(self, now: float) -> None:
         """Remove instances that sent no report for ``FORGET_SECONDS``."""
-        gone = [
-            n for n, m in self._members.items() if not _is_remembered(m, now)
+        expired = [
+            n for n, m in self._members.items() if not _is_retained(m, now)
         ]
-        for name in gone:
+        for name in expired:
             member = self._members.pop(name)
             self._local_count -= member.data_centre == self._data_centre
 
@@ -277,7 +277,7 @@
         return [
             m.peer_address
             for m in self._members.values()
-            if not self.is_remote(m.data_centre) and _is_remembered(m, now)
+            if not self.is_remote(m.data_centre) and _is_retained(m, now)
         ]
 
     def list_members(
@@ -339,7 +339,7 @@
         members = [
             m
             for m in self._members.values()
-            if m.data_centre == data_centre and _is_remembered(m, now)
+            if m.data_centre == data_centre and _is_retained(m, now)
         ]
         fresh_seconds = self._get_remote_fresh_seconds()
         fresh = [m for m in members if now - m.reported_at <= fresh_seconds]
@@ -382,5 +382,5 @@
         return now >= member.reported_at
 
 
-def _is_remembered(member: Member, now: float) -> bool:
+def _is_retained(member: Member, now: float) -> bool:
     return now - max(member.reported_at, member.added_at) <= FORGET_SECONDS
--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -88,11 +88,11 @@
             return False
         # The same summary may arrive directly and forwarded. One that
         # arrives after a later one is dropped.
-        known = self._last_seen.get(summary.instance)
-        start = summary.incarnation
-        if known and known[0] == start and known[1] >= summary.number:
+        last = self._last_seen.get(summary.instance)
+        incarnation = summary.incarnation
+        if last and last[0] == incarnation and last[1] >= summary.number:
             return False
-        self._last_seen[summary.instance] = (start, summary.number)
+        self._last_seen[summary.instance] = (incarnation, summary.number)
         self.taken += 1
         for row in summary.rows:
             report, age = _read_row(summary, row)
@@ -103,7 +103,7 @@
         self._quotas.apply_data_centre_totals(
             summary.data_centre,
             summary.instance,
-            start,
+            incarnation,
             summary.admitted_units,
             now,
         )
--- a/tests/relay/test_membership.py
+++ b/tests/relay/test_membership.py
@@ -74,13 +74,13 @@
         """An older report of the same incarnation is ignored."""
         self.assertTrue(self.members.apply_report(make_report("x", 5), 1.0))
         self.assertFalse(self.members.apply_report(make_report("x", 4), 1.0))
-        again = make_report("x", 1, incarnation="2")
-        self.assertTrue(self.members.apply_report(again, 2.0))
+        restarted = make_report("x", 1, incarnation="2")
+        self.assertTrue(self.members.apply_report(restarted, 2.0))
 
     def test_late_report_of_an_earlier_incarnation(self):
         """A summary may still hold the incarnation before a restart."""
-        again = make_report("x", 1, incarnation="2")
-        self.assertTrue(self.members.apply_report(again, 2.0))
+        restarted = make_report("x", 1, incarnation="2")
+        self.assertTrue(self.members.apply_report(restarted, 2.0))
         self.assertFalse(self.members.apply_report(make_report("x", 9), 1.5))
 
     def test_members_named_by_a_seed(self):
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -102,15 +102,15 @@
     def test_restarted_instance_is_known_by_its_new_incarnation(self):
         """Rows of the previous incarnation do not replace later ones."""
         self.network.run(4.0)
-        again = self.nodes[20]
-        again.start(self.network.seeds)
+        restarted = self.nodes[20]
+        restarted.start(self.network.seeds)
         self.network.run(2.0)
         self.assert_all_in_reach(self.nodes)
         remote = next(
-            n for n in self.nodes if n.data_centre != again.data_centre
+            n for n in self.nodes if n.data_centre != restarted.data_centre
         )
-        report = remote.members._members[again.name].report
-        self.assertEqual(again.incarnation, report.incarnation)
+        report = remote.members._members[restarted.name].report
+        self.assertEqual(restarted.incarnation, report.incarnation)
 
     def test_all_know_a_request_that_ended_endpoints_elsewhere(self):
         """Guards against a barred request that some instances still send.
@@ -126,8 +126,8 @@
                 self.network.ticker.now(),
             )
         self.network.run(STABLE_SECONDS)
-        again = self.nodes[20]
-        again.start(self.network.seeds)
+        restarted = self.nodes[20]
+        restarted.start(self.network.seeds)
         self.network.run(STABLE_SECONDS)
         now = self.network.ticker.now()
         for node in self.nodes:
@@ -163,10 +163,10 @@
     def test_isolated_instance_rejoins(self):
         """An instance rejoins after a partition without a restart."""
         self.network.run(4.0)
-        lost = self.nodes[7]
-        self.network.is_blocked = lambda a, b: lost in (a, b)
+        isolated = self.nodes[7]
+        self.network.is_blocked = lambda a, b: isolated in (a, b)
         self.network.run(4.0)
-        self.assertEqual(set(), lost.list_fresh())
+        self.assertEqual(set(), isolated.list_fresh())
         self.network.is_blocked = lambda a, b: False
         self.network.run(2.0)
         self.assert_all_in_reach(self.nodes)
