--- a/citronport/relay/summaries.py
+++ b/citronport/relay/summaries.py
@@ -78,7 +78,7 @@
         )
 
     def apply(self, summary: messages.Summary, now: float) -> bool:
-        """Apply a summary; return False if it is outdated or one's own.
+        """Apply a summary; return False if it is outdated or a local one.
 
         Args:
             summary: summary of any data centre.
@@ -88,11 +88,11 @@
             return False
         # The same summary may arrive directly and forwarded. One that
         # arrives after a later one is dropped.
-        known = self._last_seen.get(summary.instance)
-        start = summary.incarnation
-        if known and known[0] == start and known[1] >= summary.number:
+        last = self._last_seen.get(summary.instance)
+        incarnation = summary.incarnation
+        if last and last[0] == incarnation and last[1] >= summary.number:
             return False
-        self._last_seen[summary.instance] = (start, summary.number)
+        self._last_seen[summary.instance] = (incarnation, summary.number)
         self.taken += 1
         for row in summary.rows:
             report, age = _read_row(summary, row)
@@ -103,15 +103,17 @@
         self._quotas.apply_data_centre_totals(
             summary.data_centre,
             summary.instance,
-            start,
+            incarnation,
             summary.admitted_units,
             now,
         )
-        for service, begin, read, stay in summary.profiles:
+        for service, base, per_token, total in summary.profiles:
             self._profiles.set_remote(
                 service,
                 profiles_module.Profile(
-                    base_steps=begin, steps_per_token=read, total_steps=stay
+                    base_steps=base,
+                    steps_per_token=per_token,
+                    total_steps=total,
                 ),
             )
         return True
--- a/tests/relay/nodes.py
+++ b/tests/relay/nodes.py
@@ -1,4 +1,4 @@
-"""The parts of an instance that talk to other instances, for tests."""
+"""The parts of an instance that exchange data with others, for tests."""
 
 import gevent
 
@@ -74,7 +74,7 @@
             self.members,
             self.mirror,
             ticker,
-            lambda items, returned: self.changed_keys.extend(
+            lambda items, recovered_at: self.changed_keys.extend(
                 i.key for i in items
             ),
             self.follower,
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -55,7 +55,7 @@
         self.assertEqual(["op/config"], self.mirror.list_keys())
 
     def test_end_of_outage_is_recorded(self):
-        """The end is needed to tell lapsed entries from removed ones."""
+        """The end is needed to distinguish lapsed from removed entries."""
         self.follower.poll()
         self.store.mode = "busy"
         self.assertFalse(self.follower.poll())
@@ -141,14 +141,14 @@
         self.assertLess(self.ticker.now() - began, 0.5)
 
     def test_standby_retries_less_often(self):
-        """Guards against hundreds that retry as often as eight readers."""
-        asked = {}
+        """Guards against hundreds of instances retrying like eight readers."""
+        retries = {}
         for reader in (True, False):
             self.follower._is_reader = lambda reader=reader: reader
             self.follower._retry_seconds = follower_module.RETRY_SECONDS
             until = self.ticker.now() + 30.0
-            asked[reader] = 0
+            retries[reader] = 0
             while self.ticker.now() < until:
                 self.follower.back_off()
-                asked[reader] += 1
-        self.assertLess(asked[False], 0.7 * asked[True])
+                retries[reader] += 1
+        self.assertLess(retries[False], 0.7 * retries[True])
--- a/tests/relay/test_summaries.py
+++ b/tests/relay/test_summaries.py
@@ -63,7 +63,7 @@
 
         Their seeds are in a third one. Starts are up to half a second apart,
         as after a power failure. Until the others are known, each instance
-        takes all endpoints for its own.
+        treats all endpoints as its own.
         """
         draw = random.Random(1)
         starts = {node: draw.uniform(0.0, 0.5) for node in self.nodes}
@@ -79,7 +79,7 @@
         self.assert_all_in_reach(self.nodes)
 
     def test_dead_instance_is_out_of_reach_in_time(self):
-        """A dead instance gets no callers and no places after seconds."""
+        """Guards against callers and slots for an instance that died."""
         self.network.run(4.0)
         self.network.dead = {self.nodes[40]}
         self.network.run(BOUND_SECONDS)
@@ -102,18 +102,22 @@
     def test_restarted_instance_is_known_by_its_new_incarnation(self):
         """Rows of the previous incarnation do not replace later ones."""
         self.network.run(4.0)
-        again = self.nodes[20]
-        again.start(self.network.seeds)
+        restarted = self.nodes[20]
+        restarted.start(self.network.seeds)
         self.network.run(2.0)
         self.assert_all_in_reach(self.nodes)
         remote = next(
-            n for n in self.nodes if n.data_centre != again.data_centre
+            n for n in self.nodes if n.data_centre != restarted.data_centre
         )
-        report = remote.members._members[again.name].report
-        self.assertEqual(again.incarnation, report.incarnation)
+        report = remote.members._members[restarted.name].report
+        self.assertEqual(restarted.incarnation, report.incarnation)
 
     def test_all_know_a_request_that_ended_endpoints_elsewhere(self):
-        """Guards against three more crashes for each data centre or start."""
+        """Guards against a barred request that some instances still send.
+
+        It would crash three more endpoints for each data centre, or for
+        each restart, that does not know of the earlier crashes.
+        """
         self.network.run(4.0)
         for number in range(suspects.BAR_THRESHOLD):
             self.nodes[number].suspects.record_crash(
@@ -122,17 +126,18 @@
                 self.network.ticker.now(),
             )
         self.network.run(STABLE_SECONDS)
-        again = self.nodes[20]
-        again.start(self.network.seeds)
+        restarted = self.nodes[20]
+        restarted.start(self.network.seeds)
         self.network.run(STABLE_SECONDS)
         now = self.network.ticker.now()
         for node in self.nodes:
             self.assertTrue(node.suspects.is_barred("f1", now))
 
     def test_all_know_a_limit_that_an_endpoint_names_elsewhere(self):
-        """Guards against a limit for each data centre, and a late end.
+        """Guards against a limit that other data centres exceed.
 
-        All instances must know the limit, and then that it is gone.
+        All instances must know the limit, and then that it no longer
+        applies.
         """
         self.network.run(4.0)
         for rate in (2.5, None):
@@ -158,10 +163,10 @@
     def test_isolated_instance_rejoins(self):
         """An instance rejoins after a partition without a restart."""
         self.network.run(4.0)
-        lost = self.nodes[7]
-        self.network.is_blocked = lambda a, b: lost in (a, b)
+        isolated = self.nodes[7]
+        self.network.is_blocked = lambda a, b: isolated in (a, b)
         self.network.run(4.0)
-        self.assertEqual(set(), lost.list_fresh())
+        self.assertEqual(set(), isolated.list_fresh())
         self.network.is_blocked = lambda a, b: False
         self.network.run(2.0)
         self.assert_all_in_reach(self.nodes)
@@ -191,7 +196,7 @@
     def test_reading_does_not_grow_with_the_fleet(self):
         """Guards against a cost that grows with the number of instances.
 
-        It took a part of a core for each hundred instances.
+        Reading reports used a part of a core for each hundred instances.
         """
         for instances, data_centres in ((24, 4), (72, 6)):
             most, _ = self.measure(instances, data_centres)
