--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -37,11 +37,11 @@
 the time after which an unanswered query is repeated."""
 
 START_WAIT_SHARE = 0.25
-"""The same limit as a share of the time that the caller has left, so that it
-can still retry and be served."""
+"""The same limit as a share of the caller's timeout, so that the caller can
+still retry and be served."""
 
 START_POLL_SECONDS = 0.02
-"""Interval between two checks whether the start is complete."""
+"""Interval at which a waiting request checks whether the start is complete."""
 
 LEAVING_RETRY_SECONDS = 0.1
 """Retry time announced by a stopping instance; the caller retries at another
--- a/citronport/relay/cluster_state.py
+++ b/citronport/relay/cluster_state.py
@@ -19,9 +19,9 @@
 
 LAPSE_GRACE_SECONDS = 1.5
 """How long an endpoint stays in use after its entry vanished around an outage
-of the store. During an outage, entries of live endpoints expire and are
-entered again within two seconds. Without the grace period, the list would be
-empty for that time after a recovery, and every caller would be refused."""
+of the store. Entries of live endpoints expire during an outage and are written
+again within two seconds of its end. Without the grace period, no endpoint
+would be listed for that time, and every caller would be refused."""
 
 OUTAGE_RECOVERY_SECONDS = 3.0
 """Time after an outage during which a vanished entry counts as lapsed."""
@@ -164,7 +164,7 @@
             self.evacuated.add(name)
         elif name in self.evacuated:
             self.evacuated.discard(name)
-            # Endpoints may be cold after a time without work.
+            # Endpoints that had no work during the evacuation may be cold.
             for endpoint in self.endpoints.values():
                 if endpoint.data_centre == name:
                     self._set_cold(endpoint, now)
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -58,10 +58,10 @@
 """Time left between the latest exit of the process and its forced kill."""
 
 SWEEP_INTERVAL_SECONDS = 0.25
-"""Interval between two removals of expired state."""
+"""Interval at which expired state is removed."""
 
 SETTINGS_POLL_SECONDS = 2.0
-"""Interval between two checks of the settings file for changes."""
+"""Interval at which the settings file is checked for changes."""
 
 
 class Instance:
@@ -307,11 +307,11 @@
     def _is_discovering_peers(self) -> bool:
         """Return whether requests should wait for peer discovery.
 
-        When all instances restart at once, two seconds' worth of callers
-        retry at the first ones that are up. An instance that knows no peers
-        assumes that it has all endpoints to itself; a hundred such
-        instances overfill each engine many times over, and the engines
-        reject requests that could have waited for a moment.
+        When all instances restart at once, the requests of about two seconds
+        are retried at the first instances that are up. An instance that
+        knows no peers assumes that it has all endpoints to itself; a hundred
+        such instances send each endpoint many times its capacity, and the
+        endpoints reject requests that could have waited for a moment.
         """
         now = self._ticker.now()
         if now - self._started >= PEER_DISCOVERY_SECONDS:
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -136,9 +136,9 @@
         """Queue a request and match it at once if there is capacity.
 
         Returns:
-            None if the request got a reservation or is queued. If its wait
-            would exceed its limit, it is not queued, and the expected wait
-            is returned, seconds.
+            None if the request got a reservation or is queued. If its
+            expected wait exceeds its maximum wait, it is not queued, and the
+            expected wait is returned, seconds.
         """
         queue = self._queues.get(service)
         if queue is None:
@@ -304,9 +304,9 @@
         )
         if owned_seconds is not None:
             sample_size = len(endpoints)
-            # A new owner does not know which leases its predecessor granted
-            # within the current window, and an owner that does not reach a
-            # majority may not be the only one.
+            # A new owner does not know how many requests its predecessor sent
+            # to cold endpoints within the current window, and an owner that
+            # does not reach a majority may not be the only one.
             if (
                 owned_seconds > cold_starts.WINDOW_SECONDS
                 and self._is_majority
--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -18,13 +18,14 @@
 
 ANSWER_TIMEOUT_SECONDS = 0.06
 """Time to wait for an answer. It covers two links of a millisecond each and an
-owner that is parsing a configuration of a thousand routes."""
+owner that is busy parsing a configuration of a thousand routes."""
 
 QUEUED_ASK_INTERVAL_SECONDS = 0.4
-"""Interval at which the lease request of a queued request is repeated; a
-request waits for at most two objectives of 0.3 to 0.8 s. Repeats detect a dead
-owner and recover lost answers. At an interval of 0.15 s, the repeats of 300
-waiting requests took an owner more time than its other work."""
+"""Interval at which the lease request of a queued request is repeated. A
+request waits for at most twice its route's objective, which is 0.3 to 0.8 s.
+Repeats detect a dead owner and recover lost answers. At an interval of 0.15 s,
+the repeats of 300 waiting requests took an owner more time than its other
+work."""
 
 MAX_UNANSWERED = 2
 """Unanswered lease requests after which an owner counts as unresponsive. One
@@ -147,7 +148,7 @@
             self._send(owner, ended)
 
     def renew(self) -> None:
-        """Tell each owner which of its leases this instance holds."""
+        """Report to each owner which of its leases this instance holds."""
         now = self._ticker.now()
         held: dict[str, list[tuple[str, str, int]]] = {}
         for endpoint, run in self._loads.list_leased():
@@ -225,7 +226,7 @@
     def _wait_in_queue(
         self, answers: gevent_queue.SimpleQueue, end: float
     ) -> Answer | None:
-        """Wait in the owner's queue until the next repeat is due."""
+        """Wait in the owner's queue until the next repeat of the request."""
         until = min(end, self._ticker.now() + QUEUED_ASK_INTERVAL_SECONDS)
         while (left := until - self._ticker.now()) > 0:
             try:
--- a/citronport/relay/lease_server.py
+++ b/citronport/relay/lease_server.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Applicant:
-    """A lease request of another instance; the handle of its waiter.
+    """A lease request of another instance, used as the handle of its waiter.
 
     Attributes:
         ask: the lease request.
@@ -87,7 +87,7 @@
         now = self._ticker.now()
         granted = self._granted.get(ask.request)
         if granted is not None and granted.endpoint not in ask.tried:
-            # The grant that answered an earlier repeat got lost.
+            # The lease is granted already; the message that said so got lost.
             self._send(ask.instance, granted)
             return
         applicant = self._applicants.get(ask.request)
--- a/citronport/relay/leasing.py
+++ b/citronport/relay/leasing.py
@@ -102,14 +102,14 @@
                 self.lease_client.handle_answer(message)
 
     def _on_owner_change(self) -> None:
-        # Until a new owner learns what runs at its endpoints, it takes full
-        # ones for idle and grants their capacity again. Each instance
-        # therefore reports its leases as soon as it sees the new owner, and
-        # not with the next renewal, up to half a second later.
+        # Until a new owner learns which requests run at its endpoints, full
+        # endpoints look idle to it, and it grants their capacity again. Each
+        # instance therefore reports its leases as soon as it sees the new
+        # owner. The next renewal may be half a second away.
         gevent.spawn(self.lease_client.renew)
 
     def run_renewal_loop(self) -> None:
-        """Renew the leases of this instance at a fixed interval, forever."""
+        """Renew the leases held here at a fixed interval, indefinitely."""
         while True:
             self._ticker.sleep(leases_module.RENEW_INTERVAL_SECONDS)
             self.lease_client.renew()
--- a/citronport/relay/owners.py
+++ b/citronport/relay/owners.py
@@ -16,8 +16,8 @@
 in a fleet of 60 instances reports arrive every 0.75 s."""
 
 UNRESPONSIVE_SECONDS = 1.5
-"""How long an unresponsive owner is no candidate. If it is dead, all instances
-see it as unreachable after about the same time."""
+"""How long an unresponsive owner is excluded from the candidates. If it is
+dead, all instances see it as unreachable after about the same time."""
 
 
 class Owners:
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -130,9 +130,9 @@
                 return self._refuse_barred()
             case upstream.Replaced():
                 # After endpoints crashed and restarted, the list may still
-                # name the old ones. An endpoint that is gone looks idle
-                # and would draw each request that finds the others full,
-                # so it counts as unreachable at once.
+                # name the old ones. An endpoint that is gone looks idle and
+                # would be chosen for each request that finds the others
+                # full, so it counts as unreachable at once.
                 self._record_unreachable("another endpoint answers there")
                 if not self._may_send_again():
                     return self._refuse_overloaded()
@@ -334,10 +334,10 @@
         return errors.Refusal(code=errors.Code.ENDPOINT_LOST)
 
     def _should_try_another(self, answer: requests.EndpointAnswer) -> bool:
-        # An endpoint may fail some of its requests and still look healthy;
-        # a request with a long prompt would then be lost to a failure before
-        # its first event. Any request that may run twice is retried at
-        # another endpoint.
+        # An endpoint that fails only some of its requests still looks healthy
+        # and gets more of them. So that a request with a long prompt is not
+        # lost to a failure before its first event, each request that may run
+        # twice is retried at another endpoint.
         self.progress.possible_runs += 1
         if answer.status < 500 or not self._may_run_again():
             return False
@@ -475,7 +475,8 @@
             return
         now = self._context.ticker.now()
         if late or now - reservation.run.sent_at >= MIN_SILENCE_SECONDS:
-            # The reset from an endpoint that terminated may have been lost.
+            # An endpoint that is no longer listed may have crashed, and its
+            # connection reset may have been lost.
             gone = (
                 reservation.endpoint.name
                 not in self._context.cluster_state.endpoints
--- a/tests/relay/test_cluster_state.py
+++ b/tests/relay/test_cluster_state.py
@@ -108,7 +108,7 @@
         """Guards against an empty endpoint list after an outage of the store.
 
         Entries of live endpoints expire in an outage, and the endpoints
-        enter themselves again within two seconds. Until then they stay in
+        write them again within two seconds. Until then they stay in
         use; an endpoint that does not return is removed.
         """
         self.put_endpoint("a")
--- a/tests/relay/test_endpoint_limit.py
+++ b/tests/relay/test_endpoint_limit.py
@@ -114,7 +114,7 @@
         self.assertGreater(len(taken), 2 * RATE * 2.0)
 
     def test_one_instance_keeps_the_limit(self):
-        """Guards against a limited endpoint that gets as much as others."""
+        """Guards against a limited endpoint that gets as much as the other."""
         self.check_limit(1)
 
     def test_instances_keep_the_limit_together(self):
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -99,11 +99,11 @@
         """Guards against a 404 for a route that was confirmed 3 s ago.
 
         If queries of a silent store wait as long as a watch of a healthy
-        one, a query sent just before the recovery hides it for 2.8 s, and
-        with the following pause the change takes 3.5 s. Queries without a
-        wait find the store within 1.6 s. The length of the outage varies in
-        small steps, so that it ends at every moment of a query. Pauses are
-        the longest possible.
+        one, a query sent just before the recovery delays its detection by
+        2.8 s, and with the following pause the change takes 3.5 s. Queries
+        without a wait reach the recovered store within 1.6 s. The length of
+        the outage varies in small steps, so that it ends at every moment of
+        a query. Pauses are the longest possible.
         """
         self.patch(random, "uniform", lambda low, high: high)
         delays = {
@@ -116,8 +116,8 @@
     def test_watch_that_is_pending_when_the_store_falls_silent(self):
         """Guards against a late change after an outage shorter than a watch.
 
-        The watch begins at various times before the outage. Its loss is not
-        noticed until it times out.
+        The watch begins at various times before the outage. The instance
+        does not notice that it was lost until it times out.
         """
         self.patch(random, "uniform", lambda low, high: high)
         late = {}
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -334,7 +334,7 @@
         self.assertEqual(0, self.room.board.get_load("e0").requests)
 
     def test_endpoint_that_leaves_during_the_connect_gets_nothing(self):
-        """Guards against an entry that goes while the connection opens."""
+        """Guards against a send to an endpoint delisted during the connect."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint, objective=0.05)
         cluster_state = self.room.cluster_state
@@ -372,7 +372,7 @@
         self.assertEqual(1, len(endpoint.requests))
 
     def test_request_barred_by_its_own_crash_is_not_sent_again(self):
-        """Guards against a retry by the attempt that crashed the third."""
+        """Guards against a retry after the crash that bars the request."""
         ending = fakes.Endpoint(self, fakes.close_unanswered)
         other = fakes.Endpoint(self, fakes.answer())
         self.prepare(ending, other)
@@ -382,7 +382,7 @@
         self.assertEqual(0, len(other.requests))
 
     def test_request_barred_while_it_connects_is_not_sent(self):
-        """Guards against a bar between the reservation and the send."""
+        """Guards against a bar that is missed after the reservation."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
         cluster_state = self.room.cluster_state
@@ -397,7 +397,7 @@
         self.assertEqual(0, len(endpoint.requests))
 
     def test_failure_of_a_live_endpoint_is_no_crash(self):
-        """Guards against a bar for failures that an endpoint reports."""
+        """Guards against barring a request for reported failures."""
         bad = fakes.Endpoint(self, fakes.answer(500))
         self.prepare(bad)
         self.crash_others(suspects.BAR_THRESHOLD - 1)
