--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -191,10 +191,10 @@
         would fail. The wait is short, since the store may be unavailable for
         any length of time.
         """
-        patience = START_WAIT_SECONDS
+        max_wait = START_WAIT_SECONDS
         if head.timeout_seconds is not None:
-            patience = min(patience, START_WAIT_SHARE * head.timeout_seconds)
-        until = arrived + patience
+            max_wait = min(max_wait, START_WAIT_SHARE * head.timeout_seconds)
+        until = arrived + max_wait
         while (
             self._context.cluster_state.configuration is None
             or self._is_discovering_peers()
@@ -325,8 +325,8 @@
         if environ["PATH_INFO"] != PATH_METRICS:
             refusal = errors.Refusal(code=errors.Code.UNKNOWN_PATH)
             return refusals.answer(start_response, refusal)
-        body, kind = metrics.render(self._read(), self._counts)
-        start_response("200 OK", [("Content-Type", kind)])
+        body, content_type = metrics.render(self._read(), self._counts)
+        start_response("200 OK", [("Content-Type", content_type)])
         return [body]
 
 
--- a/citronport/relay/cluster_state.py
+++ b/citronport/relay/cluster_state.py
@@ -93,10 +93,10 @@
 
     def sweep(self, now: float) -> None:
         """Remove endpoints whose lapsed entries did not return in time."""
-        over = [n for n, until in self._lapsing.items() if now >= until]
-        for name in over:
+        expired = [n for n, until in self._lapsing.items() if now >= until]
+        for name in expired:
             self._drop(name)
-        if over:
+        if expired:
             self._index()
 
     def list_endpoints(self, service: str) -> list[models.Endpoint]:
--- a/citronport/relay/core.py
+++ b/citronport/relay/core.py
@@ -330,24 +330,24 @@
         ]
 
     def _start_tasks(self) -> None:
-        keep = self._tasks.start_restarting
-        keep("follower", self.follower.follow)
-        keep("receiver", self.gossip.receive)
-        keep("reporter", self.gossip.report_forever)
-        keep("envoy", self.gossip.summarize_forever)
-        keep("catch-up", self.replication.catch_up)
-        keep("dispatcher", self.dispatcher.run_match_loop)
-        keep("renewer", self.leasing.run_renewal_loop)
-        keep("sweeper", self._run_sweeper)
-        keep("settings", self._watch_settings)
+        start_task = self._tasks.start_restarting
+        start_task("follower", self.follower.follow)
+        start_task("receiver", self.gossip.receive)
+        start_task("reporter", self.gossip.report_forever)
+        start_task("envoy", self.gossip.summarize_forever)
+        start_task("catch-up", self.replication.catch_up)
+        start_task("dispatcher", self.dispatcher.run_match_loop)
+        start_task("renewer", self.leasing.run_renewal_loop)
+        start_task("sweeper", self._run_sweeper)
+        start_task("settings", self._watch_settings)
 
     def _drain(self) -> None:
-        end = self._settings.bounds.grace_seconds - EXIT_MARGIN_SECONDS
+        max_seconds = self._settings.bounds.grace_seconds - EXIT_MARGIN_SECONDS
         started = self._ticker.now()
-        self._ticker.sleep(min(DRAIN_ACCEPT_SECONDS, end))
+        self._ticker.sleep(min(DRAIN_ACCEPT_SECONDS, max_seconds))
         self._closing = True
         self._callers.close()
-        while self._ticker.now() - started < end:
+        while self._ticker.now() - started < max_seconds:
             if not self.application.running and self._callers.is_idle():
                 break
             self._ticker.sleep(SWEEP_INTERVAL_SECONDS)
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -117,9 +117,9 @@
         if found is not None:
             return found
         now = self._ticker.now()
-        woken: gevent_event.AsyncResult = gevent_event.AsyncResult()
+        assignment: gevent_event.AsyncResult = gevent_event.AsyncResult()
         waiter = wait_queue.Waiter(
-            work=work, waiting_since=now, tried=tried, handle=woken
+            work=work, waiting_since=now, tried=tried, handle=assignment
         )
         retry_seconds = self.enqueue(waiter, service)
         if retry_seconds is not None:
@@ -127,10 +127,10 @@
         try:
             # Not "get": its timeout is indistinguishable from the deadline
             # timeout of the whole request, which must end the request.
-            woken.wait(timeout=wait_queue.compute_max_wait(work, now))
+            assignment.wait(timeout=wait_queue.compute_max_wait(work, now))
         finally:
             self.cancel(waiter, service)
-        return woken.value or self._refuse(work, service)
+        return assignment.value or self._refuse(work, service)
 
     def enqueue(self, waiter: wait_queue.Waiter, service: str) -> float | None:
         """Queue a request and match it at once if there is capacity.
@@ -224,8 +224,8 @@
 
     def count_waiting(self) -> int:
         """Return the number of waiting requests."""
-        here = sum(len(queue) for queue in self._queues.values())
-        return here + (
+        local = sum(len(queue) for queue in self._queues.values())
+        return local + (
             self.lease_client.count_waiting() if self.lease_client else 0
         )
 
@@ -386,17 +386,17 @@
     ) -> errors.Refusal:
         listed = self._cluster_state.list_endpoints(service)
         code = errors.Code.OVERLOADED if listed else errors.Code.NO_ENDPOINT
-        left = max(0.0, work.deadline - self._ticker.now())
+        remaining = max(0.0, work.deadline - self._ticker.now())
         # Most callers retry only once, so the retry time is not shorter than
         # the expected wait. The random spread keeps callers that are refused
         # in one burst from retrying in one burst.
         retry_seconds = max(retry_seconds, wait_queue.MIN_RETRY_AFTER_SECONDS)
-        longest = MAX_RETRY_SHARE * left
+        max_retry_seconds = MAX_RETRY_SHARE * remaining
         return errors.Refusal(
             code=code,
             retry_after=random.uniform(
-                min(retry_seconds, 0.5 * longest),
-                min(2 * retry_seconds, longest),
+                min(retry_seconds, 0.5 * max_retry_seconds),
+                min(2 * retry_seconds, max_retry_seconds),
             ),
         )
 
--- a/citronport/relay/lease_client.py
+++ b/citronport/relay/lease_client.py
@@ -228,9 +228,9 @@
     ) -> Answer | None:
         """Wait in the owner's queue until the next repeat of the request."""
         until = min(end, self._ticker.now() + QUEUED_ASK_INTERVAL_SECONDS)
-        while (left := until - self._ticker.now()) > 0:
+        while (remaining := until - self._ticker.now()) > 0:
             try:
-                answer = answers.get(timeout=left)
+                answer = answers.get(timeout=remaining)
             except gevent_queue.Empty:
                 return None
             match answer:
--- a/citronport/relay/sender.py
+++ b/citronport/relay/sender.py
@@ -62,18 +62,18 @@
         Raises:
             StreamCutError: the response broke off after its first byte.
         """
-        left = self._work.deadline - self._context.ticker.now()
-        timeout = gevent.Timeout(max(0.0, left))
+        remaining = self._work.deadline - self._context.ticker.now()
+        timeout = gevent.Timeout(max(0.0, remaining))
         try:
             with timeout:
                 yield from self._answer(start_response)
         except gevent.Timeout as error:
             if error is not timeout:
                 raise
-            self._record_silence(late=True)
+            self._record_silence(past_deadline=True)
             yield from self._fail(start_response, self._refuse_past_deadline())
         except disconnects.CallerDisconnected:
-            self._record_silence(late=False)
+            self._record_silence(past_deadline=False)
             raise
         finally:
             self._release()
@@ -370,11 +370,11 @@
     def _refuse_overloaded(self) -> errors.Refusal:
         if self.progress.possible_runs:
             return errors.Refusal(code=errors.Code.ENDPOINT_LOST)
-        left = max(0.0, self._work.deadline - self._context.ticker.now())
+        remaining = max(0.0, self._work.deadline - self._context.ticker.now())
         return errors.Refusal(
             code=errors.Code.OVERLOADED,
             retry_after=min(
-                dispatcher_module.MAX_RETRY_SHARE * left,
+                dispatcher_module.MAX_RETRY_SHARE * remaining,
                 dispatcher_module.wait_queue.MIN_RETRY_AFTER_SECONDS,
             ),
         )
@@ -466,7 +466,7 @@
             self._job.fingerprint, self._context.ticker.now()
         )
 
-    def _record_silence(self, *, late: bool) -> None:
+    def _record_silence(self, *, past_deadline: bool) -> None:
         # An endpoint that accepts requests and never answers looks idle and
         # healthy, and attracts more. Callers that disconnect are the only
         # sign of its failure.
@@ -474,14 +474,17 @@
         if reservation is None or reservation.run.first_event_at is not None:
             return
         now = self._context.ticker.now()
-        if late or now - reservation.run.sent_at >= MIN_SILENCE_SECONDS:
+        if (
+            past_deadline
+            or now - reservation.run.sent_at >= MIN_SILENCE_SECONDS
+        ):
             # An endpoint that is no longer listed may have crashed, and its
             # connection reset may have been lost.
-            gone = (
+            is_unlisted = (
                 reservation.endpoint.name
                 not in self._context.cluster_state.endpoints
             )
-            self._record_failure("silence", "maybe", cut=gone)
+            self._record_failure("silence", "maybe", cut=is_unlisted)
 
     def _log_failure(
         self, endpoint: str, what: str, ran: str, *, cut: bool = False
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -64,7 +64,7 @@
             self.clock,
         )
 
-    def ask(self, patience):
+    def ask(self, timeout_seconds):
         """Request a path without a route; return status and headers."""
         environ = {
             "wsgi.input": Body(),
@@ -74,7 +74,7 @@
             caller_const.ENVIRON_FIELDS: {
                 "host": "shop.example",
                 "x-attempt-id": "id-1",
-                "x-deadline-ms": str(int(patience * 1000)),
+                "x-deadline-ms": str(int(timeout_seconds * 1000)),
             },
         }
         seen = []
--- a/tests/relay/test_cluster_state.py
+++ b/tests/relay/test_cluster_state.py
@@ -29,12 +29,12 @@
         )
         self.revision = 0
 
-    def put(self, key, value, now=0.0, returned=NEVER):
+    def put(self, key, value, now=0.0, recovered_at=NEVER):
         """Apply one item."""
         self.revision += 1
         data = None if value is None else json.dumps(value).encode()
         item = wire.Item(key=key, value=data, revision=self.revision)
-        self.cluster_state.apply([item], now, returned)
+        self.cluster_state.apply([item], now, recovered_at)
 
     def configure(self, version, now=0.0):
         """Apply a version of the sample configuration."""
@@ -113,8 +113,8 @@
         """
         self.put_endpoint("a")
         self.put_endpoint("b")
-        self.put("servers/a", None, now=10.0, returned=9.0)
-        self.put("servers/b", None, now=10.0, returned=9.0)
+        self.put("servers/a", None, now=10.0, recovered_at=9.0)
+        self.put("servers/b", None, now=10.0, recovered_at=9.0)
         self.assertEqual(["a", "b"], self.list_names())
         self.put_endpoint("a", now=11.0)
         self.cluster_state.sweep(11.6)
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -417,8 +417,8 @@
         """Guards against limits that are read from refusals only."""
         endpoint = fakes.Endpoint(self)
         self.prepare(endpoint, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
-        kicker = gevent.spawn(self.room.dispatcher.run_match_loop)
-        self.addCleanup(kicker.kill)
+        match_task = gevent.spawn(self.room.dispatcher.run_match_loop)
+        self.addCleanup(match_task.kill)
         for script, rate in (
             (fakes.answer(503, X_Not_Executed="1", Server_Limit="2.5"), 2.5),
             (fakes.answer(Server_Limit="few"), 2.5),
