--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -147,10 +147,10 @@
 
     def _watch(self, fields):
         after = int(fields["after"])
-        left = int(fields["waitMs"]) / 1000
-        while left > 0 and self.revision <= after:
+        remaining = int(fields["waitMs"]) / 1000
+        while remaining > 0 and self.revision <= after:
             gevent.sleep(0.01)
-            left -= 0.01
+            remaining -= 0.01
         events = [e for e in self.events if e["revision"] > after]
         return json.dumps(
             {"events": events, "currentRev": self.revision}
--- a/tests/relay/test_application.py
+++ b/tests/relay/test_application.py
@@ -119,7 +119,7 @@
         self.ask(15.0)
         self.assertLess(self.clock.now(), application.START_WAIT_SECONDS + 0.1)
 
-    def test_waits_until_the_others_are_known(self):
+    def test_waits_for_peer_discovery(self):
         """Guards against sends to full engines before peer discovery."""
         self.room.cluster_state.configuration = samples.make_configuration()
         self.peers_known_at = 0.4
@@ -127,7 +127,7 @@
         self.assertEqual("404", status)
         self.assertGreaterEqual(self.clock.now(), 0.4)
 
-    def test_short_deadline_bounds_the_wait_for_the_others(self):
+    def test_short_deadline_bounds_the_wait_for_peers(self):
         """A request with a short deadline waits only a share of it."""
         self.room.cluster_state.configuration = samples.make_configuration()
         self.peers_known_at = 9.0
--- a/tests/relay/test_cluster_state.py
+++ b/tests/relay/test_cluster_state.py
@@ -50,7 +50,7 @@
         """Return the names of the endpoints that may get new work."""
         return sorted(e.name for e in self.cluster_state.list_endpoints("llm"))
 
-    def test_version_never_goes_back(self):
+    def test_older_version_is_ignored(self):
         """An older version that arrives late is ignored."""
         self.configure(7)
         self.configure(5)
--- a/tests/relay/test_endpoint_limit.py
+++ b/tests/relay/test_endpoint_limit.py
@@ -79,7 +79,7 @@
         return hosts
 
     def apply_load(self, hosts, seconds):
-        """Send requests to all instances in turn for a time."""
+        """Send requests to all instances in turn for some seconds."""
         end = time.monotonic() + seconds
         asks = []
         for host in itertools.cycle(hosts):
@@ -100,17 +100,17 @@
         hosts = self.start_all(instances_number)
         self.apply_load(hosts, 1.0)
         self.limiting.rate = RATE
-        named = time.monotonic()
+        announced_at = time.monotonic()
         self.apply_load(hosts, STABLE_SECONDS + 1.5 * WINDOW_SECONDS)
-        busiest = self.limiting.count_busiest(named + STABLE_SECONDS)
+        busiest = self.limiting.count_busiest(announced_at + STABLE_SECONDS)
         allowed = OVER * RATE * WINDOW_SECONDS + EXTRA
         self.assertLessEqual(busiest, allowed)
         self.assertGreaterEqual(busiest, RATE * WINDOW_SECONDS / 3)
         self.assertEqual({200}, set(self.statuses))
         self.limiting.rate = None
-        lifted = time.monotonic()
+        lifted_at = time.monotonic()
         self.apply_load(hosts, 3.0)
-        taken = [at for at in self.limiting.arrivals if at > lifted + 1.0]
+        taken = [at for at in self.limiting.arrivals if at > lifted_at + 1.0]
         self.assertGreater(len(taken), 2 * RATE * 2.0)
 
     def test_one_instance_keeps_the_limit(self):
--- a/tests/relay/test_leasing.py
+++ b/tests/relay/test_leasing.py
@@ -276,7 +276,7 @@
         self.assertEqual(2, self.owner.count())
         self.assertEqual(0, self.owner.room.dispatcher.count_waiting())
 
-    def test_failures_that_others_saw_count_at_the_owner(self):
+    def test_failures_reported_by_others_count_at_the_owner(self):
         """Guards against one instance after another trying a dead endpoint.
 
         With 45 endpoints and 60 instances, each instance observes few
--- a/tests/relay/test_outage.py
+++ b/tests/relay/test_outage.py
@@ -31,9 +31,9 @@
         received: size of the latest response, bytes.
     """
 
-    def __init__(self, ticker, away_from, back_at):
+    def __init__(self, ticker, outage_start, outage_end):
         self._ticker = ticker
-        self._away = (away_from, back_at)
+        self._outage = (outage_start, outage_end)
         self.received = 0
 
     def read(self, prefix, after=""):
@@ -45,7 +45,7 @@
         return self._ask(wait, lambda: self._wait(revision, wait))
 
     def _ask(self, wait, answer):
-        start, end = self._away
+        start, end = self._outage
         if start <= self._ticker.now() < end:
             self._ticker.advance(wait + follower_module.ANSWER_TIMEOUT_SECONDS)
             return result.Err("no answer in time")
@@ -53,7 +53,7 @@
         return answer()
 
     def _wait(self, revision, wait):
-        start, end = self._away
+        start, end = self._outage
         now = self._ticker.now()
         if now < start < now + wait:
             # The outage begins while the query is pending.
@@ -78,13 +78,13 @@
     step, and time out in step when the store stops answering.
     """
 
-    def measure_delay(self, away_seconds, away_from=103.0):
+    def measure_delay(self, away_seconds, outage_start=103.0):
         """Return the time from the recovery to the change, seconds."""
         ticker = clock.ManualClock(100.0)
-        back_at = away_from + away_seconds
+        outage_end = outage_start + away_seconds
         known = {}
         follower = follower_module.Follower(
-            UnavailableStore(ticker, away_from, back_at),
+            UnavailableStore(ticker, outage_start, outage_end),
             mirror_module.Mirror(),
             ticker,
             lambda items: known.update({items[0].revision: ticker.now()}),
@@ -93,7 +93,7 @@
         while 2 not in known:
             if not follower.poll():
                 follower.back_off()
-        return known[2] - back_at
+        return known[2] - outage_end
 
     def test_change_is_in_force_soon_after_an_outage(self):
         """Guards against a 404 for a route that was confirmed 3 s ago.
--- a/tests/relay/test_sender.py
+++ b/tests/relay/test_sender.py
@@ -95,7 +95,7 @@
         """Record the status and headers of the response."""
         self.started.append((int(status.split()[0]), dict(headers)))
 
-    def test_request_reaches_the_endpoint_as_it_came(self):
+    def test_request_reaches_the_endpoint_unchanged(self):
         """Only hop-by-hop headers and those of the instance differ."""
         endpoint = fakes.Endpoint(self, fakes.answer())
         self.prepare(endpoint)
@@ -156,7 +156,7 @@
         self.prepare(full, good, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(200, self.ask())
 
-    def test_all_full_is_a_refusal_with_a_pause(self):
+    def test_all_full_is_a_refusal_with_a_retry_time(self):
         """A request that no endpoint ran is refused with a retry time."""
         full = fakes.Endpoint(self, fakes.answer(503, X_Not_Executed="1"))
         self.prepare(full, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
@@ -170,8 +170,8 @@
         self.prepare(other, good, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
         self.assertEqual(200, self.ask())
 
-    def test_replaced_endpoint_draws_no_more_requests(self):
-        """Guards against an endpoint that is gone but attracts requests.
+    def test_replaced_endpoint_gets_no_more_requests(self):
+        """Guards against requests to an endpoint that is gone but looks idle.
 
         Its successor has the same address and another name, and the list
         names the old endpoint for some seconds. It looks idle while the
@@ -193,7 +193,7 @@
             self.assertEqual(503, self.ask())
         self.assertEqual(1, len(other.requests))
 
-    def test_answer_to_another_request_is_not_passed_on(self):
+    def test_answer_to_another_request_is_not_forwarded(self):
         """A response with the id of another request is not forwarded."""
         crossed = fakes.Endpoint(self, fakes.answer(200, X_Attempt_Id="other"))
         self.prepare(crossed, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
@@ -246,7 +246,7 @@
         self.assertEqual(fakes.make_event(1), self.body)
         self.assertEqual("cut", self.sender.progress.outcome)
 
-    def test_resumable_stream_goes_on_elsewhere(self):
+    def test_resumable_stream_is_resumed_elsewhere(self):
         """Guards against lost or repeated events in a resumed stream.
 
         The first endpoint breaks off in the middle of an event. The second
@@ -413,7 +413,7 @@
         self.assertEqual(504, self.ask())
         self.assertTrue(self.is_barred())
 
-    def test_limit_in_any_answer_is_noted(self):
+    def test_limit_in_any_answer_is_recorded(self):
         """Guards against limits that are read from refusals only."""
         endpoint = fakes.Endpoint(self)
         self.prepare(endpoint, repeat=models.RepeatPolicy.NON_IDEMPOTENT)
