--- a/citronport/relay/application.py
+++ b/citronport/relay/application.py
@@ -37,11 +37,11 @@
 the time after which an unanswered query is repeated."""
 
 START_WAIT_SHARE = 0.25
-"""The same limit as a share of the time that the caller has left, so that it
-can still retry and be served."""
+"""The same limit as a share of the caller's timeout, so that the caller can
+still retry and be served."""
 
 START_POLL_SECONDS = 0.02
-"""Interval between two checks whether the start is complete."""
+"""Interval at which a waiting request checks whether the start is complete."""
 
 LEAVING_RETRY_SECONDS = 0.1
 """Retry time announced by a stopping instance; the caller retries at another
@@ -191,10 +191,10 @@
         would fail. The wait is short, since the store may be unavailable for
         any length of time.
         """
-        patience = START_WAIT_SECONDS
+        max_wait = START_WAIT_SECONDS
         if head.timeout_seconds is not None:
-            patience = min(patience, START_WAIT_SHARE * head.timeout_seconds)
-        until = arrived + patience
+            max_wait = min(max_wait, START_WAIT_SHARE * head.timeout_seconds)
+        until = arrived + max_wait
         while (
             self._context.cluster_state.configuration is None
             or self._is_discovering_peers()
@@ -325,8 +325,8 @@
         if environ["PATH_INFO"] != PATH_METRICS:
             refusal = errors.Refusal(code=errors.Code.UNKNOWN_PATH)
             return refusals.answer(start_response, refusal)
-        body, kind = metrics.render(self._read(), self._counts)
-        start_response("200 OK", [("Content-Type", kind)])
+        body, content_type = metrics.render(self._read(), self._counts)
+        start_response("200 OK", [("Content-Type", content_type)])
         return [body]
 
 
--- a/citronport/relay/dispatcher.py
+++ b/citronport/relay/dispatcher.py
@@ -117,9 +117,9 @@
         if found is not None:
             return found
         now = self._ticker.now()
-        woken: gevent_event.AsyncResult = gevent_event.AsyncResult()
+        assignment: gevent_event.AsyncResult = gevent_event.AsyncResult()
         waiter = wait_queue.Waiter(
-            work=work, waiting_since=now, tried=tried, handle=woken
+            work=work, waiting_since=now, tried=tried, handle=assignment
         )
         retry_seconds = self.enqueue(waiter, service)
         if retry_seconds is not None:
@@ -127,18 +127,18 @@
         try:
             # Not "get": its timeout is indistinguishable from the deadline
             # timeout of the whole request, which must end the request.
-            woken.wait(timeout=wait_queue.compute_max_wait(work, now))
+            assignment.wait(timeout=wait_queue.compute_max_wait(work, now))
         finally:
             self.cancel(waiter, service)
-        return woken.value or self._refuse(work, service)
+        return assignment.value or self._refuse(work, service)
 
     def enqueue(self, waiter: wait_queue.Waiter, service: str) -> float | None:
         """Queue a request and match it at once if there is capacity.
 
         Returns:
-            None if the request got a reservation or is queued. If its wait
-            would exceed its limit, it is not queued, and the expected wait
-            is returned, seconds.
+            None if the request got a reservation or is queued. If its
+            expected wait exceeds its maximum wait, it is not queued, and the
+            expected wait is returned, seconds.
         """
         queue = self._queues.get(service)
         if queue is None:
@@ -224,8 +224,8 @@
 
     def count_waiting(self) -> int:
         """Return the number of waiting requests."""
-        here = sum(len(queue) for queue in self._queues.values())
-        return here + (
+        local = sum(len(queue) for queue in self._queues.values())
+        return local + (
             self.lease_client.count_waiting() if self.lease_client else 0
         )
 
@@ -304,9 +304,9 @@
         )
         if owned_seconds is not None:
             sample_size = len(endpoints)
-            # A new owner does not know which leases its predecessor granted
-            # within the current window, and an owner that does not reach a
-            # majority may not be the only one.
+            # A new owner does not know how many requests its predecessor sent
+            # to cold endpoints within the current window, and an owner that
+            # does not reach a majority may not be the only one.
             if (
                 owned_seconds > cold_starts.WINDOW_SECONDS
                 and self._is_majority
@@ -386,17 +386,17 @@
     ) -> errors.Refusal:
         listed = self._cluster_state.list_endpoints(service)
         code = errors.Code.OVERLOADED if listed else errors.Code.NO_ENDPOINT
-        left = max(0.0, work.deadline - self._ticker.now())
+        remaining = max(0.0, work.deadline - self._ticker.now())
         # Most callers retry only once, so the retry time is not shorter than
         # the expected wait. The random spread keeps callers that are refused
         # in one burst from retrying in one burst.
         retry_seconds = max(retry_seconds, wait_queue.MIN_RETRY_AFTER_SECONDS)
-        longest = MAX_RETRY_SHARE * left
+        max_retry_seconds = MAX_RETRY_SHARE * remaining
         return errors.Refusal(
             code=code,
             retry_after=random.uniform(
-                min(retry_seconds, 0.5 * longest),
-                min(2 * retry_seconds, longest),
+                min(retry_seconds, 0.5 * max_retry_seconds),
+                min(2 * retry_seconds, max_retry_seconds),
             ),
         )
 
--- a/tests/relay/test_cluster_state.py
+++ b/tests/relay/test_cluster_state.py
@@ -29,12 +29,12 @@
         )
         self.revision = 0
 
-    def put(self, key, value, now=0.0, returned=NEVER):
+    def put(self, key, value, now=0.0, recovered_at=NEVER):
         """Apply one item."""
         self.revision += 1
         data = None if value is None else json.dumps(value).encode()
         item = wire.Item(key=key, value=data, revision=self.revision)
-        self.cluster_state.apply([item], now, returned)
+        self.cluster_state.apply([item], now, recovered_at)
 
     def configure(self, version, now=0.0):
         """Apply a version of the sample configuration."""
@@ -50,7 +50,7 @@
         """Return the names of the endpoints that may get new work."""
         return sorted(e.name for e in self.cluster_state.list_endpoints("llm"))
 
-    def test_version_never_goes_back(self):
+    def test_older_version_is_ignored(self):
         """An older version that arrives late is ignored."""
         self.configure(7)
         self.configure(5)
@@ -108,13 +108,13 @@
         """Guards against an empty endpoint list after an outage of the store.
 
         Entries of live endpoints expire in an outage, and the endpoints
-        enter themselves again within two seconds. Until then they stay in
+        write them again within two seconds. Until then they stay in
         use; an endpoint that does not return is removed.
         """
         self.put_endpoint("a")
         self.put_endpoint("b")
-        self.put("servers/a", None, now=10.0, returned=9.0)
-        self.put("servers/b", None, now=10.0, returned=9.0)
+        self.put("servers/a", None, now=10.0, recovered_at=9.0)
+        self.put("servers/b", None, now=10.0, recovered_at=9.0)
         self.assertEqual(["a", "b"], self.list_names())
         self.put_endpoint("a", now=11.0)
         self.cluster_state.sweep(11.6)
