--- a/citronport/callers/deduplication.py
+++ b/citronport/callers/deduplication.py
@@ -101,14 +101,14 @@
             # would mean that the sender's view of the fleet is wrong.
             refusal = errors.Refusal(code=errors.Code.HOME_UNREACHABLE)
             return make_refused_run(work, refusal)
-        relay: gevent.Greenlet | None = None
+        task: gevent.Greenlet | None = None
 
         def stop(_run: runs.Run) -> None:
-            if relay is not None:
-                relay.kill(block=False)
+            if task is not None:
+                task.kill(block=False)
 
         run = runs.Run(work, stop)
-        relay = gevent.spawn(self._relay_answer, run, instance)
+        task = gevent.spawn(self._relay_answer, run, instance)
         return run
 
     def _relay_answer(self, run: runs.Run, instance: str) -> None:
--- a/citronport/callers/models.py
+++ b/citronport/callers/models.py
@@ -63,13 +63,13 @@
         parsed = ChatModel.model_validate_json(body)
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(step) for step in first["loc"])
+        location = ".".join(str(step) for step in first["loc"])
         # Only the location and the rule: the refusal must not contain the
         # caller's content.
         return result.Err(
             errors.Refusal(
                 code=errors.Code.MALFORMED,
-                detail=f"{place or 'body'}: {first['type']}",
+                detail=f"{location or 'body'}: {first['type']}",
             )
         )
     text = _join_text(parsed.messages)
--- a/citronport/callers/server.py
+++ b/citronport/callers/server.py
@@ -223,8 +223,8 @@
         # Connections that wait in the kernel's backlog are reset when the
         # listener closes; their callers could not tell whether the request
         # ran.
-        while not self.closed and (taken := self.do_read()) is not None:
-            self.do_handle(*taken)
+        while not self.closed and (accepted := self.do_read()) is not None:
+            self.do_handle(*accepted)
         super().close()
 
     def is_idle(self) -> bool:
@@ -288,14 +288,14 @@
 
 
 def _discard(sock: socket.socket) -> None:
-    left = const.MAX_DISCARD_BYTES
+    remaining = const.MAX_DISCARD_BYTES
     with (
         contextlib.suppress(OSError),
         gevent.Timeout(const.DISCARD_TIMEOUT_SECONDS, False),
     ):
         sock.shutdown(socket.SHUT_WR)
-        while left > 0 and (data := sock.recv(io.DEFAULT_BUFFER_SIZE)):
-            left -= len(data)
+        while remaining > 0 and (data := sock.recv(io.DEFAULT_BUFFER_SIZE)):
+            remaining -= len(data)
 
 
 def _raise_refusal(code: errors.Code) -> None:
--- a/citronport/documents.py
+++ b/citronport/documents.py
@@ -49,8 +49,8 @@
 
 
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    taken = dict(pairs)
-    if len(taken) < len(pairs):
+    mapping = dict(pairs)
+    if len(mapping) < len(pairs):
         raise _DuplicateKeyError
     return taken
 
@@ -69,8 +69,8 @@
         return result.Ok(yaml.load(text, Loader=_Loader))
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
-        place = f"line {mark.line + 1}: " if mark else ""
-        return result.Err(f"{place}invalid YAML: {error.problem}")
+        prefix = f"line {mark.line + 1}: " if mark else ""
+        return result.Err(f"{prefix}invalid YAML: {error.problem}")
     except (yaml.YAMLError, ValueError) as error:
         return result.Err("invalid YAML: " + " ".join(str(error).split()))
 
@@ -121,9 +121,9 @@
     parts = []
     faults = error.errors(include_url=False)
     for item in faults[:MAX_REPORTED_FAULTS]:
-        place = item.get("ctx", {}).get("place", item["loc"])
-        name = ".".join(str(step) for step in place) or "(top)"
-        line = _find_line(root, place)
+        location = item.get("ctx", {}).get("place", item["loc"])
+        name = ".".join(str(step) for step in location) or "(top)"
+        line = _find_line(root, location)
         parts.append(f"line {line}: {name}: {_describe(item)}")
     if len(faults) > MAX_REPORTED_FAULTS:
         parts.append(f"and {len(faults) - MAX_REPORTED_FAULTS} more")
--- a/citronport/endpoints/connection.py
+++ b/citronport/endpoints/connection.py
@@ -105,12 +105,14 @@
             OSError: the connection failed and no response has arrived.
         """
         self._answer = Answer()
-        left = memoryview(request)
-        while left:
+        remaining = memoryview(request)
+        while remaining:
             ready, _, _ = gevent_select.select([self._sock], [self._sock], [])
             if ready:
                 return
-            left = left[self._sock.send(left[: const.READ_BYTES]) :]
+            remaining = remaining[
+                self._sock.send(remaining[: const.READ_BYTES]) :
+            ]
 
     def has_input(self) -> bool:
         """Return whether unread data has been received."""
--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -139,7 +139,7 @@
         self._record(event, actions)
         match event:
             case models.AnswerFinished():
-                self._forget(event.request_id)
+                self._remove_run(event.request_id)
             case models.EndpointConnected():
                 # Later decisions of the scheduler apply to this start of the
                 # endpoint.
@@ -263,8 +263,8 @@
             )
             return
         run.observer.record_dispatch(action.endpoint)
-        left = request.deadline - self._ticker.now()
-        call = dataclasses.replace(run.work.call, timeout=left)
+        remaining = request.deadline - self._ticker.now()
+        call = dataclasses.replace(run.work.call, timeout=remaining)
         match self._client.run_call(
             endpoint.address, start, call, may_send_now, deliver
         ):
@@ -324,8 +324,8 @@
         # The other instance explicitly answered "not run", so the request may
         # be scheduled again here.
         self._refusals[run.request_id] = refusal
-        tried = self._refused_by.get(run.request_id, ())
-        self._refused_by[run.request_id] = (*tried, action.instance)
+        refused_by = self._refused_by.get(run.request_id, ())
+        self._refused_by[run.request_id] = (*refused_by, action.instance)
         self.post(
             models.RequestArrived(
                 request=run.work.request,
@@ -340,9 +340,11 @@
         # it stays silent. After the deadline the request is therefore refused
         # here. It may have run, so the refusal says "outcome unknown" and the
         # request is never sent again.
-        left = run.work.request.deadline - self._ticker.now()
+        remaining = run.work.request.deadline - self._ticker.now()
         refusal = errors.Refusal(code=errors.Code.DEADLINE_PASSED_RUNNING)
-        with gevent.Timeout(max(0.0, left) + FORWARD_GRACE_SECONDS, False):
+        with gevent.Timeout(
+            max(0.0, remaining) + FORWARD_GRACE_SECONDS, False
+        ):
             refusal = self._forward(run, instance)
         return refusal
 
@@ -359,7 +361,7 @@
 
     def _finish(self, run: runs.Run, refusal: errors.Refusal) -> None:
         run.deliver(messages.Refused(refusal=refusal))
-        self._forget(run.request_id)
+        self._remove_run(run.request_id)
 
     def _cancel(self, action: models.Cancel) -> None:
         task = self._tasks.get(action.request_id)
@@ -402,7 +404,7 @@
         run.observer.record_end(telemetry_module.OUTCOME_LEFT)
         self._finish(run, errors.Refusal(code=code))
 
-    def _forget(self, request_id: str) -> None:
+    def _remove_run(self, request_id: str) -> None:
         run = self._runs.pop(request_id, None)
         if run is not None:
             run.observer.record_end(telemetry_module.OUTCOME_LEFT)
--- a/citronport/instances/peers.py
+++ b/citronport/instances/peers.py
@@ -258,8 +258,8 @@
             for name, known in list(links.items()):
                 if known is source:
                     del links[name]
-        for (owner, _), inbox in list(self._exchanges.items()):
-            if owner is source:
+        for (used_link, _), inbox in list(self._exchanges.items()):
+            if used_link is source:
                 inbox.put(link.Closed())
         for key in list(self._remote_runs):
             if key[0] is source:
--- a/citronport/scheduler/budget.py
+++ b/citronport/scheduler/budget.py
@@ -172,12 +172,12 @@
     # A request whose first token arrived before the report was made is
     # part of the reported load; everything else may be foreign. The
     # foreign count never grows here, since no other instance sends.
-    inside = sum(
+    own_reported = sum(
         1
         for sent in state.running.values()
         if sent.first_token_at is not None and sent.first_token_at <= made_at
     )
-    foreign_count = max(0, report.running + report.queued - inside)
+    foreign_count = max(0, report.running + report.queued - own_reported)
     state.foreign_count = (
         foreign_count
         if state.foreign_count is None
@@ -299,8 +299,10 @@
     # It is therefore limited to its cold-start concurrency at first; each
     # first token raises the limit by one, and the first broken answer
     # stops the increase. A busy endpoint is not affected.
-    silent = now - state.answered_at > const.FIRST_TOKEN_EVIDENCE_SECONDS
-    if silent and not state.running and has_cold_start(state.spec):
+    no_recent_token = (
+        now - state.answered_at > const.FIRST_TOKEN_EVIDENCE_SECONDS
+    )
+    if no_recent_token and not state.running and has_cold_start(state.spec):
         state.limit = min(state.limit, state.spec.cold_concurrency)
 
 
--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -132,13 +132,13 @@
             for name, centre in endpoints.items()
             if self._endpoints.get(name) != centre
         }
-        gone = self._endpoints.keys() - endpoints.keys()
+        removed = self._endpoints.keys() - endpoints.keys()
         self._owners = {
             name: owner
             for name, owner in self._owners.items()
-            if name not in gone
+            if name not in removed
         }
-        for name in gone:
+        for name in removed:
             self._owned.pop(name, None)
         self._endpoints = dict(endpoints)
         self._assign(changed, now)
--- a/citronport/scheduler/placement.py
+++ b/citronport/scheduler/placement.py
@@ -38,7 +38,7 @@
                 position = hash_text(f"{endpoint.name}/{replica}")
                 points.append((position, endpoint.name))
         points.sort()
-        self._positions = [spot for spot, _ in points]
+        self._positions = [position for position, _ in points]
         self._names = [name for _, name in points]
         self._size = len(endpoints)
         self.prefill_rate = mean
--- a/citronport/scheduler/queue.py
+++ b/citronport/scheduler/queue.py
@@ -79,10 +79,10 @@
         self._finish_tags[key] = start + waiting.cost_seconds / max(
             weight, 1e-6
         )
-        workspace_queue = self._queues[get_group(request), request.tier]
-        workspace_queue.setdefault(
-            request.workspace, collections.deque()
-        ).append(waiting)
+        by_workspace = self._queues[get_group(request), request.tier]
+        by_workspace.setdefault(request.workspace, collections.deque()).append(
+            waiting
+        )
         self._by_id[request.request_id] = waiting
         self._add_cost(waiting, waiting.cost_seconds)
 
