--- a/citronport/scheduler/admission.py
+++ b/citronport/scheduler/admission.py
@@ -28,7 +28,7 @@
         self.entries: dict[str, models.Entry] = {}
 
     def requeue(self, waiting: queue.QueuedRequest) -> None:
-        """Return a request to the queue that was taken out of it."""
+        """Put a request back into the queue it was taken out of."""
         weight = self._get_weight(waiting.request)
         self._owner.queue.push(waiting, weight)
 
--- a/citronport/scheduler/budget.py
+++ b/citronport/scheduler/budget.py
@@ -43,7 +43,7 @@
     Attributes:
         spec: endpoint as the catalogue describes it.
         connected: whether there is a connection.
-        suspended: whether the right to send is uncertain.
+        suspended: whether the right to send to it while cold is uncertain.
         cold_share: usable share of the cold-start capacity.
         warm: whether there was evidence of warmth since its start.
         evidence_since: evidence must be newer than this, clock seconds.
@@ -356,7 +356,7 @@
 def record_end(
     state: EndpointState, request_id: str, now: float, output_tokens: int
 ) -> SentRequest | None:
-    """Remove a request whose answer is complete or whose caller left."""
+    """Remove a request that has ended; update the speed estimates."""
     sent = _remove(state, request_id)
     if sent is None:
         return None
@@ -392,7 +392,11 @@
 
 
 def record_cancel(state: EndpointState, request_id: str, now: float) -> None:
-    """Count a cancelled request as foreign until it has certainly ended."""
+    """Remove a cancelled request.
+
+    While the endpoint is cold, the request counts as foreign until a newer
+    report shows that it has ended.
+    """
     if _remove(state, request_id) is None:
         return
     if has_cold_start(state.spec) and not state.warm:
--- a/citronport/scheduler/core.py
+++ b/citronport/scheduler/core.py
@@ -12,7 +12,8 @@
 - the result of ``summarize()``, at regular intervals, to the other
   instances as ``InstanceReported``.
 
-A request that is abandoned gets its ``Refuse`` in the same step.
+A request that the scheduler refuses or drops gets its ``Refuse`` in the same
+step; one whose caller left gets none.
 """
 
 import dataclasses
@@ -197,7 +198,7 @@
         return self._reroute(now)
 
     def _reroute(self, now: float) -> list[models.Action]:
-        """Place queued requests again if their endpoints are gone."""
+        """Route queued requests again that have no usable endpoint here."""
         actions: list[models.Action] = []
         for waiting in self._owner.queue.iterate_all():
             request = waiting.request
--- a/citronport/scheduler/models.py
+++ b/citronport/scheduler/models.py
@@ -185,7 +185,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """Load that an endpoint reports of itself, with a delay.
+    """Load that an endpoint reports about itself, with a delay.
 
     Attributes:
         running: requests in the batch.
--- a/citronport/scheduler/owner.py
+++ b/citronport/scheduler/owner.py
@@ -204,7 +204,8 @@
         return dispatches
 
     def _has_room(self, name: str, tier: int) -> bool:
-        # A cheap check first: at most events all endpoints are full.
+        # Cheap check before the queue is searched: on most events all
+        # endpoints are full.
         state = self.states[name]
         full = len(state.running) >= state.limit
         return not full or budget.count_lower_tiers(state, tier) > 0
@@ -293,9 +294,10 @@
         request: models.Request,
         now: float,
     ) -> float | None:
-        """Return an endpoint's score, seconds; None if it is too late.
+        """Return an endpoint's score; None if it would miss the deadline.
 
-        The score is the sum of wait, weighted prefill and decoding.
+        The score is the sum of wait, weighted prefill and decoding, in
+        seconds; lower is better.
         """
         cached = self._caches[name].count_cached(request)
         prefill = estimate.estimate_prefill(state, request, cached)
--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -53,7 +53,7 @@
         owner_by_list: whether this instance is the owner by the list alone,
             ignoring announced leaves. An announcement may reach only some
             instances, so two of them could each take themselves for the
-            owner; only the list gives the right to send to a cold start.
+            owner; only the owner by the list may send to a cold endpoint.
         owned_since: clock time since which ``owner_by_list`` has its value.
         released: whether the earlier owner released the endpoint.
         seen_idle: whether it was idle after any earlier lease expired.
--- a/citronport/scheduler/routing.py
+++ b/citronport/scheduler/routing.py
@@ -71,7 +71,7 @@
         self._owners = owners
 
     def clear_unreported_cost(self, instance: str) -> None:
-        """Forget work sent to an instance that its new summary includes."""
+        """Drop the cost of work that an instance's new summary includes."""
         for key in [k for k in self._unreported_cost if k[0] == instance]:
             del self._unreported_cost[key]
 
