--- a/citronport/assignment.py
+++ b/citronport/assignment.py
@@ -53,7 +53,7 @@
         self.current = models.OwnershipChanged(owned=frozenset())
 
     def serve(self) -> None:
-        """Update the ownership periodically, without end."""
+        """Update the ownership periodically until killed."""
         while True:
             self.update()
             self._ticker.sleep(UPDATE_INTERVAL_SECONDS)
--- a/citronport/callers/deduplication.py
+++ b/citronport/callers/deduplication.py
@@ -97,7 +97,7 @@
         self, work: runs.Work, instance: str, *, forwarded: bool
     ) -> runs.Run:
         if forwarded:
-            # A request is forwarded to its home only once; a second step
+            # A request is forwarded to its home only once; a second hop
             # would mean that the sender's view of the fleet is wrong.
             refusal = errors.Refusal(code=errors.Code.HOME_UNREACHABLE)
             return make_refused_run(work, refusal)
@@ -116,7 +116,8 @@
         refusal: errors.Refusal | None = errors.Refusal(
             code=errors.Code.DEADLINE_PASSED_RUNNING
         )
-        # A suspended home keeps its link open but does not respond.
+        # A home whose process is paused keeps its link open but does not
+        # respond.
         with gevent.Timeout(max(0.0, seconds), False):
             refusal = self._forward(run, instance)
         if refusal is not None:
--- a/citronport/callers/idempotency.py
+++ b/citronport/callers/idempotency.py
@@ -247,7 +247,7 @@
 
 def _make_key(identity: tickets.Identity) -> bytes:
     # A cryptographic hash, so that callers cannot provoke collisions: a
-    # collision would give one owner the response of another.
+    # collision would give one caller the response of another.
     names = (identity.entry, str(identity.ticket or ""), identity.key)
     text = "\n".join(names).encode()
     return hashlib.blake2b(text, digest_size=16).digest()
--- a/citronport/clock.py
+++ b/citronport/clock.py
@@ -32,7 +32,7 @@
 
 
 class ManualClock:
-    """A clock that only advances when a test says so."""
+    """A clock that advances only when a test advances it."""
 
     def __init__(self, start: float = 0.0) -> None:
         self._now = start
--- a/citronport/documents.py
+++ b/citronport/documents.py
@@ -52,7 +52,7 @@
     mapping = dict(pairs)
     if len(mapping) < len(pairs):
         raise _DuplicateKeyError
-    return taken
+    return mapping
 
 
 def load(text: str) -> result.Result[Any, str]:
--- a/citronport/endpoints/client.py
+++ b/citronport/endpoints/client.py
@@ -127,12 +127,12 @@
             except (*_CONNECTION_ERRORS, ValueError):
                 return _NOT_SENT
             try:
-                # A process that was suspended and resumed acts on stale
+                # A process that was paused and resumed acts on stale
                 # state: it could send a request whose caller was already
                 # told "not run", or one that was scheduled for a warm
                 # endpoint that has restarted cold. Nothing between this
-                # check and the send can block, so any earlier suspension
-                # is noticed, and a connection always belongs to one start
+                # check and the send can block, so any earlier pause is
+                # noticed, and a connection always belongs to one start
                 # of the endpoint's process.
                 if not may_send():
                     return _NOT_SENT
--- a/citronport/endpoints/connection.py
+++ b/citronport/endpoints/connection.py
@@ -99,7 +99,7 @@
         """Send a large request, but stop as soon as a response arrives.
 
         An endpoint may reject a request before it has read the body and
-        then stop reading: a plain send would block forever.
+        then stop reading: a plain send would block indefinitely.
 
         Raises:
             OSError: the connection failed and no response has arrived.
--- a/citronport/endpoints/watch.py
+++ b/citronport/endpoints/watch.py
@@ -121,7 +121,7 @@
                 )
             )
         # The response may have been buffered while this process was
-        # suspended, so its age is counted from the request.
+        # paused, so its age is counted from the request.
         report = parse_report(raw, self._ticker.now() - requested_at)
         self._post(
             models.EndpointReported(endpoint=self._endpoint, report=report)
--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -28,10 +28,9 @@
 """How long after a deadline the refusal of the owner is awaited; unlike the
 refusal made here, it can say "not run"."""
 
-
 PAUSE_THRESHOLD_SECONDS = 1.0
-"""Interval between two steps above which the process counts as suspended and
-its state as outdated: twenty times the longest one of a running process."""
+"""Interval between two steps above which the process counts as paused and its
+state as outdated: twenty times the interval of the ticks."""
 
 LEASE_REQUIRED_SECONDS = 2.0
 """How long after a pause every send needs a lease. Within this time the
@@ -104,7 +103,7 @@
         self._inbox.put(event)
 
     def report_abandoned(self, run: runs.Run) -> None:
-        """Tell the scheduler that a run has no reader any more."""
+        """Notify the scheduler that a run has no reader any more."""
         self.post(models.RequestLeft(request_id=run.request_id))
 
     def count_running(self, endpoint: str) -> int:
@@ -116,7 +115,7 @@
         return not self._runs and self._inbox.empty()
 
     def serve(self) -> None:
-        """Handle events, without end."""
+        """Handle events until killed."""
         while True:
             try:
                 event = self._inbox.get(timeout=TICK_INTERVAL_SECONDS)
@@ -154,7 +153,7 @@
     def _detect_pause(self, now: float) -> None:
         if now - self._last_step_at > PAUSE_THRESHOLD_SECONDS:
             logging.warning(
-                "%s process was suspended; sends require a lease for now.", LOG
+                "%s process was paused; sends require a lease for now.", LOG
             )
             self._resumed_at = now
         self._last_step_at = now
@@ -203,7 +202,7 @@
         *details: Any,
     ) -> None:
         # An unhandled error would end the task silently: the caller would
-        # wait without end, and the slot at the endpoint would stay occupied.
+        # wait indefinitely, and the slot at the endpoint would stay occupied.
         try:
             function(run, *details)
         except Exception as error:
@@ -296,7 +295,7 @@
                 )
 
     def _may_send(self, endpoint: str, now: float) -> bool:
-        # After a suspension this process may no longer own the endpoint, and
+        # After a pause this process may no longer own the endpoint, and
         # the endpoint may be cold: its new owner and this instance together
         # would overload it. Until the current state is known, a lease is
         # needed; if it expired during the pause, nothing is sent.
@@ -336,8 +335,8 @@
     def _forward_in_time(
         self, run: runs.Run, instance: str
     ) -> errors.Refusal | None:
-        # A link can fail silently, and the caller would wait for as long as
-        # it stays silent. After the deadline the request is therefore refused
+        # A link can fail without an error, and the caller would then wait
+        # indefinitely. After the deadline the request is therefore refused
         # here. It may have run, so the refusal says "outcome unknown" and the
         # request is never sent again.
         remaining = run.work.request.deadline - self._ticker.now()
--- a/citronport/instances/gossip.py
+++ b/citronport/instances/gossip.py
@@ -135,7 +135,7 @@
         )
 
     def _request_newer(self, sender: str, versions: dict[str, int]) -> bool:
-        """Request values that are newer there; return if there are any."""
+        """Request values that are newer there; return whether any are."""
         mine = self._published.get_versions()
         newer = {p: v for p, v in versions.items() if v > mine.get(p, 0)}
         for path in newer:
--- a/citronport/runs.py
+++ b/citronport/runs.py
@@ -43,7 +43,7 @@
         on_abandoned: called when the last reader detaches before the end.
         repeatable: whether the run continues without readers, because a
             repeat may attach.
-        on_ended: called once the run has ended.
+        on_ended: called when the run ends.
     """
 
     def __init__(
--- a/citronport/tasks.py
+++ b/citronport/tasks.py
@@ -14,7 +14,7 @@
 LOG = "tasks:"
 RESTART_SECONDS = 1.0
 """Delay before a failed task is restarted. Without it, a task that fails at
-each start would occupy the whole processor."""
+each start would occupy an entire core."""
 
 EXIT_TASK_DIED = 70
 """Exit code after the failure of a task that the process requires."""
