--- a/citronport/executor.py
+++ b/citronport/executor.py
@@ -28,10 +28,9 @@
 """How long after a deadline the refusal of the owner is awaited; unlike the
 refusal made here, it can say "not run"."""
 
-
 PAUSE_THRESHOLD_SECONDS = 1.0
-"""Interval between two steps above which the process counts as suspended and
-its state as outdated: twenty times the longest one of a running process."""
+"""Interval between two steps above which the process counts as paused and its
+state as outdated: twenty times the interval of the ticks."""
 
 LEASE_REQUIRED_SECONDS = 2.0
 """How long after a pause every send needs a lease. Within this time the
@@ -104,7 +103,7 @@
         self._inbox.put(event)
 
     def report_abandoned(self, run: runs.Run) -> None:
-        """Tell the scheduler that a run has no reader any more."""
+        """Notify the scheduler that a run has no reader any more."""
         self.post(models.RequestLeft(request_id=run.request_id))
 
     def count_running(self, endpoint: str) -> int:
@@ -116,7 +115,7 @@
         return not self._runs and self._inbox.empty()
 
     def serve(self) -> None:
-        """Handle events, without end."""
+        """Handle events until killed."""
         while True:
             try:
                 event = self._inbox.get(timeout=TICK_INTERVAL_SECONDS)
@@ -139,7 +138,7 @@
         self._record(event, actions)
         match event:
             case models.AnswerFinished():
-                self._forget(event.request_id)
+                self._remove_run(event.request_id)
             case models.EndpointConnected():
                 # Later decisions of the scheduler apply to this start of the
                 # endpoint.
@@ -154,7 +153,7 @@
     def _detect_pause(self, now: float) -> None:
         if now - self._last_step_at > PAUSE_THRESHOLD_SECONDS:
             logging.warning(
-                "%s process was suspended; sends require a lease for now.", LOG
+                "%s process was paused; sends require a lease for now.", LOG
             )
             self._resumed_at = now
         self._last_step_at = now
@@ -203,7 +202,7 @@
         *details: Any,
     ) -> None:
         # An unhandled error would end the task silently: the caller would
-        # wait without end, and the slot at the endpoint would stay occupied.
+        # wait indefinitely, and the slot at the endpoint would stay occupied.
         try:
             function(run, *details)
         except Exception as error:
@@ -263,8 +262,8 @@
             )
             return
         run.observer.record_dispatch(action.endpoint)
-        left = request.deadline - self._ticker.now()
-        call = dataclasses.replace(run.work.call, timeout=left)
+        remaining = request.deadline - self._ticker.now()
+        call = dataclasses.replace(run.work.call, timeout=remaining)
         match self._client.run_call(
             endpoint.address, start, call, may_send_now, deliver
         ):
@@ -296,7 +295,7 @@
                 )
 
     def _may_send(self, endpoint: str, now: float) -> bool:
-        # After a suspension this process may no longer own the endpoint, and
+        # After a pause this process may no longer own the endpoint, and
         # the endpoint may be cold: its new owner and this instance together
         # would overload it. Until the current state is known, a lease is
         # needed; if it expired during the pause, nothing is sent.
@@ -324,8 +323,8 @@
         # The other instance explicitly answered "not run", so the request may
         # be scheduled again here.
         self._refusals[run.request_id] = refusal
-        tried = self._refused_by.get(run.request_id, ())
-        self._refused_by[run.request_id] = (*tried, action.instance)
+        refused_by = self._refused_by.get(run.request_id, ())
+        self._refused_by[run.request_id] = (*refused_by, action.instance)
         self.post(
             models.RequestArrived(
                 request=run.work.request,
@@ -336,13 +335,15 @@
     def _forward_in_time(
         self, run: runs.Run, instance: str
     ) -> errors.Refusal | None:
-        # A link can fail silently, and the caller would wait for as long as
-        # it stays silent. After the deadline the request is therefore refused
+        # A link can fail without an error, and the caller would then wait
+        # indefinitely. After the deadline the request is therefore refused
         # here. It may have run, so the refusal says "outcome unknown" and the
         # request is never sent again.
-        left = run.work.request.deadline - self._ticker.now()
+        remaining = run.work.request.deadline - self._ticker.now()
         refusal = errors.Refusal(code=errors.Code.DEADLINE_PASSED_RUNNING)
-        with gevent.Timeout(max(0.0, left) + FORWARD_GRACE_SECONDS, False):
+        with gevent.Timeout(
+            max(0.0, remaining) + FORWARD_GRACE_SECONDS, False
+        ):
             refusal = self._forward(run, instance)
         return refusal
 
@@ -359,7 +360,7 @@
 
     def _finish(self, run: runs.Run, refusal: errors.Refusal) -> None:
         run.deliver(messages.Refused(refusal=refusal))
-        self._forget(run.request_id)
+        self._remove_run(run.request_id)
 
     def _cancel(self, action: models.Cancel) -> None:
         task = self._tasks.get(action.request_id)
@@ -402,7 +403,7 @@
         run.observer.record_end(telemetry_module.OUTCOME_LEFT)
         self._finish(run, errors.Refusal(code=code))
 
-    def _forget(self, request_id: str) -> None:
+    def _remove_run(self, request_id: str) -> None:
         run = self._runs.pop(request_id, None)
         if run is not None:
             run.observer.record_end(telemetry_module.OUTCOME_LEFT)
--- a/citronport/scheduler/budget.py
+++ b/citronport/scheduler/budget.py
@@ -43,7 +43,7 @@
     Attributes:
         spec: endpoint as the catalogue describes it.
         connected: whether there is a connection.
-        suspended: whether the right to send is uncertain.
+        suspended: whether the right to send to it while cold is uncertain.
         cold_share: usable share of the cold-start capacity.
         warm: whether there was evidence of warmth since its start.
         evidence_since: evidence must be newer than this, clock seconds.
@@ -172,12 +172,12 @@
     # A request whose first token arrived before the report was made is
     # part of the reported load; everything else may be foreign. The
     # foreign count never grows here, since no other instance sends.
-    inside = sum(
+    own_reported = sum(
         1
         for sent in state.running.values()
         if sent.first_token_at is not None and sent.first_token_at <= made_at
     )
-    foreign_count = max(0, report.running + report.queued - inside)
+    foreign_count = max(0, report.running + report.queued - own_reported)
     state.foreign_count = (
         foreign_count
         if state.foreign_count is None
@@ -299,8 +299,10 @@
     # It is therefore limited to its cold-start concurrency at first; each
     # first token raises the limit by one, and the first broken answer
     # stops the increase. A busy endpoint is not affected.
-    silent = now - state.answered_at > const.FIRST_TOKEN_EVIDENCE_SECONDS
-    if silent and not state.running and has_cold_start(state.spec):
+    no_recent_token = (
+        now - state.answered_at > const.FIRST_TOKEN_EVIDENCE_SECONDS
+    )
+    if no_recent_token and not state.running and has_cold_start(state.spec):
         state.limit = min(state.limit, state.spec.cold_concurrency)
 
 
@@ -354,7 +356,7 @@
 def record_end(
     state: EndpointState, request_id: str, now: float, output_tokens: int
 ) -> SentRequest | None:
-    """Remove a request whose answer is complete or whose caller left."""
+    """Remove a request that has ended; update the speed estimates."""
     sent = _remove(state, request_id)
     if sent is None:
         return None
@@ -390,7 +392,11 @@
 
 
 def record_cancel(state: EndpointState, request_id: str, now: float) -> None:
-    """Count a cancelled request as foreign until it has certainly ended."""
+    """Remove a cancelled request.
+
+    While the endpoint is cold, the request counts as foreign until a newer
+    report shows that it has ended.
+    """
     if _remove(state, request_id) is None:
         return
     if has_cold_start(state.spec) and not state.warm:
--- a/citronport/scheduler/ownership.py
+++ b/citronport/scheduler/ownership.py
@@ -53,7 +53,7 @@
         owner_by_list: whether this instance is the owner by the list alone,
             ignoring announced leaves. An announcement may reach only some
             instances, so two of them could each take themselves for the
-            owner; only the list gives the right to send to a cold start.
+            owner; only the owner by the list may send to a cold endpoint.
         owned_since: clock time since which ``owner_by_list`` has its value.
         released: whether the earlier owner released the endpoint.
         seen_idle: whether it was idle after any earlier lease expired.
@@ -132,13 +132,13 @@
             for name, centre in endpoints.items()
             if self._endpoints.get(name) != centre
         }
-        gone = self._endpoints.keys() - endpoints.keys()
+        removed = self._endpoints.keys() - endpoints.keys()
         self._owners = {
             name: owner
             for name, owner in self._owners.items()
-            if name not in gone
+            if name not in removed
         }
-        for name in gone:
+        for name in removed:
             self._owned.pop(name, None)
         self._endpoints = dict(endpoints)
         self._assign(changed, now)
